--- a/examples/lease.py
+++ b/examples/lease.py
@@ -27,10 +27,10 @@
         for action in self.lease.handle(event, now):
             match action:
                 case lease_types.Propose(lease_types.TakeLease() as take):
-                    reply = self._table.decide(take)
+                    reply = self._table.apply_command(take)
                     self.handle(lease_types.TakeCommitted(take.attempt, reply), now)
                 case lease_types.Propose(lease_types.RenewLease() as renewal):
-                    reply = self._table.decide(renewal)
+                    reply = self._table.apply_command(renewal)
                     self.handle(lease_types.RenewCommitted(renewal.attempt, reply), now)
                 case lease_types.Acquired(fence):
                     print(f"t={now:4.1f} {self.name} acquired the lease with fence {fence}")
--- a/measure/_cases.py
+++ b/measure/_cases.py
@@ -49,7 +49,7 @@
     return Policy(name, lambda simulation: _sides.Owner(simulation, options))
 
 
-_STRICT = pool_options.PLAIN
+_STRICT = pool_options.NON_ADAPTIVE
 CURRENT = "current"
 NAIVE = "naive"
 _NAIVE = Policy(NAIVE, _sides.RoundRobin)
--- a/measure/control_throughput.py
+++ b/measure/control_throughput.py
@@ -181,7 +181,7 @@
     seen = lease_types.LeaseVersion()
     take = lease_types.TakeLease("measured", f"holder-{number}", number, 1.0, seen)
     request = operations.AskSubState("leases", lease_table.COMMANDS.pack(take))
-    return (control_types.OperatorAsked(str(number), request),)
+    return (control_types.OperatorRequested(str(number), request),)
 
 
 def _claim(number: int) -> tuple[Any, ...]:
@@ -263,7 +263,7 @@
     whole = configuration.Configuration(accounts=accounts)
     change_id = uuid7.make(time.time_ns() // 1_000_000, bytes(uuid7.RANDOM_BYTES))
     change = operations.ApplyChange(change_id, 0, whole, "measure")
-    leader.handle(control_types.OperatorAsked("1", change), 0.0)
+    leader.handle(control_types.OperatorRequested("1", change), 0.0)
     return leader
 
 
--- a/measure/owner_cost.py
+++ b/measure/owner_cost.py
@@ -12,7 +12,7 @@
 import time
 
 from medlarfork.coordination import upstream_types
-from medlarfork.placement import placement_answer, placement_messages, service_owner
+from medlarfork.placement import placement_decision, placement_messages, shard_owner
 from medlarfork.routes import routing
 
 _ENGINES = (6, 16, 45, 90)
@@ -43,7 +43,7 @@
     def __init__(self, engines: int, waiting: int) -> None:
         """Start with engines, and with requests that none of them may run."""
         self._random = random.Random(1)
-        self._owner = service_owner.ServiceOwner()
+        self._owner = shard_owner.ShardOwner()
         self._owner.use_engine(_FACTS)
         upstreams = {f"u-{n}": _announcement(n) for n in range(engines)}
         self._owner.use_upstreams(upstreams)
@@ -76,7 +76,7 @@
                 event = placement_messages.FirstEvent(due.ticket_id, _FIRST_EVENT_S * 1000.0)
                 self._owner.on_first_event(event, due.at)
 
-    def _plan(self, answers: tuple[placement_answer.Answer, ...], now: float) -> None:
+    def _plan(self, answers: tuple[placement_decision.Decision, ...], now: float) -> None:
         for answer in answers:
             if isinstance(answer.message, placement_messages.Placed):
                 ticket_id = answer.message.ticket_id
@@ -106,9 +106,9 @@
         (4900, 6600, 600_000.0, 1000.0),
     )[tier]
     parts = (
-        placement_messages.PromptPart(f"common-{tier}", 300),
-        placement_messages.PromptPart(f"matter-{tier}-{matter}", shared_tokens),
-        placement_messages.PromptPart(ticket_id, own_tokens),
+        placement_messages.PromptSegment(f"common-{tier}", 300),
+        placement_messages.PromptSegment(f"matter-{tier}-{matter}", shared_tokens),
+        placement_messages.PromptSegment(ticket_id, own_tokens),
     )
     return placement_messages.PlaceRequest(
         ticket_id,
--- a/measure/star_traffic.py
+++ b/measure/star_traffic.py
@@ -226,7 +226,7 @@
     change_id = uuid7.make(_STARTED_MS + number, bytes(uuid7.RANDOM_BYTES))
     whole = configuration.Configuration(accounts=tuple(accounts))
     change = operations.ApplyChange(change_id, number - 1, whole, "measure")
-    actions = leader.handle(control_types.OperatorAsked("1", change), now)
+    actions = leader.handle(control_types.OperatorRequested("1", change), now)
     replies = [item.reply for item in actions if isinstance(item, control_types.OperatorAnswered)]
     if not isinstance(replies[0], operations.ChangeAccepted):
         raise RuntimeError(f"control did not accept the change: {replies[0]}")
--- a/src/medlarfork/backpressure/send_gate.py
+++ b/src/medlarfork/backpressure/send_gate.py
@@ -10,7 +10,7 @@
 
 from medlarfork.backpressure import signal_ledger
 
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Requests a second that are sent to an upstream that names less: only an answer tells that the
 limit has ended."""
 
@@ -28,7 +28,7 @@
         self._due_at_by_upstream: dict[str, float] = {}
 
     @property
-    def is_idle(self) -> bool:
+    def is_unrestricted(self) -> bool:
         """Return whether no upstream has signalled anything."""
         return self._ledger.is_empty
 
@@ -44,7 +44,7 @@
             share: This place's part of what the upstream takes.
         """
         rate = self._ledger.rate(upstream_id)
-        return None if rate is None else max(rate, LEAST_RATE) * share
+        return None if rate is None else max(rate, MIN_RATE) * share
 
     def wait_s(self, upstream_id: str, entry_id: str, now: float, share: float = 1.0) -> float:
         """Return how long an upstream is to get no request, in seconds; 0 if it may get one.
@@ -55,7 +55,7 @@
             now: The time in seconds.
             share: This place's part of what the upstream takes.
         """
-        paused_s = max(0.0, self._ledger.paused_until(upstream_id, entry_id) - now)
+        paused_s = max(0.0, self._ledger.backoff_until(upstream_id, entry_id) - now)
         return max(paused_s, self._paced_s(upstream_id, now, share))
 
     def _paced_s(self, upstream_id: str, now: float, share: float) -> float:
@@ -72,7 +72,7 @@
             self._due_at_by_upstream[upstream_id] = due_at
         return max(0.0, due_at - now)
 
-    def note_send(self, upstream_id: str, now: float, share: float = 1.0) -> None:
+    def record_send(self, upstream_id: str, now: float, share: float = 1.0) -> None:
         """Count a request that is sent now."""
         rate = self.rate(upstream_id, share)
         if rate is None:
@@ -81,7 +81,7 @@
         due_at = self._due_at_by_upstream.get(upstream_id, now)
         self._due_at_by_upstream[upstream_id] = max(due_at, now - BURST_S) + 1.0 / rate
 
-    def forget_lifted(self) -> None:
+    def evict_unlimited(self) -> None:
         """Drop what is kept of upstreams that name no limit any more."""
         for upstream_id in tuple(self._due_at_by_upstream):
             if self._ledger.rate(upstream_id) is None:
--- a/src/medlarfork/backpressure/signal_ledger.py
+++ b/src/medlarfork/backpressure/signal_ledger.py
@@ -12,15 +12,15 @@
 
 from medlarfork.backpressure import signal_messages
 
-SAME_SHARE = 0.05
+SAME_RATE_TOLERANCE = 0.05
 """Share by which a limit may differ from the one known and pass for the same: an upstream that
 names another fraction with each answer would else cost a message to each replica with each."""
 
-LIFTED_S = 30.0
+ENDED_LIMIT_RETENTION_S = 30.0
 """How long a limit that has ended is remembered, in seconds, so that a late report of it does not
 bring it back: longer than any message is under way."""
 
-LIMIT_S = 600.0
+LIMIT_RETENTION_S = 600.0
 """How long a limit is kept that was not reported again, in seconds: its upstream is gone by then,
 or is tried again at its limit and names it anew."""
 
@@ -30,15 +30,15 @@
 
 REFRESH_S = 60.0
 """Time after which a limit that is still named counts as news, in seconds: several times within
-``LIMIT_S``, after which ledgers that only get news forget it."""
+``LIMIT_RETENTION_S``, after which ledgers that only get news forget it."""
 
-MOST_LIMITS = 10_000
+MAX_LIMITS = 10_000
 """Upstreams with a limit that are kept, about 2 MB; the oldest go first."""
 
-LEAVING_S = 600.0
+LEAVING_RETENTION_S = 600.0
 """How long it is remembered that an upstream is leaving, in seconds: far longer than it stays."""
 
-MOST_PAUSES = 50_000
+MAX_BACKOFFS = 50_000
 """Pauses that are kept, about 13 MB: all hosts of a large fleet turned away by a hundred upstreams.
 Those that end first go first."""
 
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Merged:
+class MergeResult:
     """Hold what a report changed.
 
     Attributes:
@@ -103,7 +103,7 @@
         """Return when this ledger learnt that an upstream has a limit, in seconds."""
         return self._limit_by_upstream[upstream_id].since
 
-    def note_answer(
+    def record_response(
         self, upstream_id: str, rate: float | None, *, sent_at: float, now: float
     ) -> bool:
         """Take the limit that an answer names, or that it names none; return whether that is news.
@@ -121,17 +121,17 @@
             return False
         return self._take(upstream_id, rate, sent_at - SETTLE_S if rate is None else now, now)
 
-    def paused_until(self, upstream_id: str, entry_id: str) -> float:
+    def backoff_until(self, upstream_id: str, entry_id: str) -> float:
         """Return until when an upstream wants no request from an entry host, in seconds."""
         return self._pause_until_by_pair.get((upstream_id, entry_id), -math.inf)
 
-    def note_pause(self, upstream_id: str, entry_id: str, until: float, now: float) -> bool:
+    def record_backoff(self, upstream_id: str, entry_id: str, until: float, now: float) -> bool:
         """Note a pause that an upstream asked an entry host for; return whether that is news."""
         pair = upstream_id, entry_id
         if until <= max(now, self._pause_until_by_pair.get(pair, now)):
             return False
         self._pause_until_by_pair[pair] = until
-        if len(self._pause_until_by_pair) > MOST_PAUSES:
+        if len(self._pause_until_by_pair) > MAX_BACKOFFS:
             first = min(self._pause_until_by_pair, key=self._pause_until_by_pair.__getitem__)
             del self._pause_until_by_pair[first]
         return True
@@ -140,14 +140,14 @@
         """Return whether an upstream has said that it is leaving; that is final for it."""
         return upstream_id in self._leaving_since_by_upstream
 
-    def note_leaving(self, upstream_id: str, now: float) -> bool:
+    def record_leaving(self, upstream_id: str, now: float) -> bool:
         """Note that an upstream is leaving; return whether that is news."""
         if self.is_leaving(upstream_id):
             return False
         self._leaving_since_by_upstream[upstream_id] = now
         return True
 
-    def merge(self, report: signal_messages.SignalReport, now: float) -> Merged:
+    def merge(self, report: signal_messages.SignalReport, now: float) -> MergeResult:
         """Merge what another ledger reports."""
         changed: list[str] = []
         outdated: list[str] = []
@@ -158,10 +158,10 @@
             elif not _is_same(self.rate(limit.upstream_id), limit.rate):
                 outdated.append(limit.upstream_id)
         for pause in report.pauses:
-            self.note_pause(pause.upstream_id, pause.entry_id, now + pause.left_s, now)
+            self.record_backoff(pause.upstream_id, pause.entry_id, now + pause.left_s, now)
         for upstream_id in report.leaving:
-            self.note_leaving(upstream_id, now)
-        return Merged(tuple(changed), tuple(outdated))
+            self.record_leaving(upstream_id, now)
+        return MergeResult(tuple(changed), tuple(outdated))
 
     def changed_since(self, at: float) -> tuple[str, ...]:
         """Return the upstreams whose limit changed since a time."""
@@ -193,11 +193,11 @@
             if limit is not None
         )
         lefts = (
-            (upstream_id, self.paused_until(upstream_id, entry_id) - now)
+            (upstream_id, self.backoff_until(upstream_id, entry_id) - now)
             for upstream_id in upstream_ids
         )
         pauses = tuple(
-            signal_messages.Pause(upstream_id, entry_id, left_s)
+            signal_messages.Backoff(upstream_id, entry_id, left_s)
             for upstream_id, left_s in lefts
             if left_s > 0
         )
@@ -208,7 +208,7 @@
         """Return everything, the pauses of all entry hosts included."""
         report = self.report(self.known(), now)
         pauses = tuple(
-            signal_messages.Pause(upstream_id, entry_id, until - now)
+            signal_messages.Backoff(upstream_id, entry_id, until - now)
             for (upstream_id, entry_id), until in self._pause_until_by_pair.items()
             if until > now
         )
@@ -217,14 +217,14 @@
     def tidy(self, now: float) -> None:
         """Drop signals that have expired."""
         for upstream_id, limit in tuple(self._limit_by_upstream.items()):
-            kept_s = LIFTED_S if limit.rate is None else LIMIT_S
+            kept_s = ENDED_LIMIT_RETENTION_S if limit.rate is None else LIMIT_RETENTION_S
             if max(limit.at, limit.changed_at) + kept_s < now:
                 del self._limit_by_upstream[upstream_id]
         for pair, until in tuple(self._pause_until_by_pair.items()):
             if until <= now:
                 del self._pause_until_by_pair[pair]
         for upstream_id, since in tuple(self._leaving_since_by_upstream.items()):
-            if since + LEAVING_S < now:
+            if since + LEAVING_RETENTION_S < now:
                 del self._leaving_since_by_upstream[upstream_id]
 
     def _take(self, upstream_id: str, rate: float | None, at: float, now: float) -> bool:
@@ -238,7 +238,7 @@
         was_limited = known is not None and known.rate is not None
         since = known.since if known is not None and was_limited else now
         self._limit_by_upstream[upstream_id] = _Limit(rate, at, since, now)
-        if len(self._limit_by_upstream) > MOST_LIMITS:
+        if len(self._limit_by_upstream) > MAX_LIMITS:
             oldest = min(self._limit_by_upstream, key=lambda name: self._limit_by_upstream[name].at)
             del self._limit_by_upstream[oldest]
         return True
@@ -247,4 +247,4 @@
 def _is_same(known: float | None, rate: float | None) -> bool:
     if known is None or rate is None:
         return known is rate
-    return abs(rate - known) <= SAME_SHARE * known
+    return abs(rate - known) <= SAME_RATE_TOLERANCE * known
--- a/src/medlarfork/backpressure/signal_messages.py
+++ b/src/medlarfork/backpressure/signal_messages.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pause:
+class Backoff:
     """Tell that an incarnation of an upstream wants no request from an entry host for a while.
 
     Attributes:
@@ -51,7 +51,7 @@
     """
 
     limits: tuple[RateLimit, ...] = ()
-    pauses: tuple[Pause, ...] = ()
+    pauses: tuple[Backoff, ...] = ()
     leaving: tuple[str, ...] = ()
 
     @property
@@ -60,7 +60,7 @@
         return not (self.limits or self.pauses or self.leaving)
 
 
-RETELL_S = 2.0
+RESEND_WINDOW_S = 2.0
 """How long news are told again with each status, in seconds: a link that is being opened again
 loses what is sent meanwhile."""
 
--- a/src/medlarfork/backpressure/upstream_signals.py
+++ b/src/medlarfork/backpressure/upstream_signals.py
@@ -5,7 +5,7 @@
 import dataclasses
 import math
 
-LONGEST_PAUSE_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 """Longest pause that is taken from one answer, in seconds; a longer one is asked for again."""
 
 LEAVING = "1"
@@ -39,7 +39,7 @@
     return UpstreamSignals(
         rate_limit=_number(rate_limit),
         is_leaving=leaving.strip() == LEAVING,
-        pause_s=min(_number(retry_after) or 0.0, LONGEST_PAUSE_S),
+        pause_s=min(_number(retry_after) or 0.0, MAX_BACKOFF_S),
     )
 
 
--- a/src/medlarfork/control/_claim_shares.py
+++ b/src/medlarfork/control/_claim_quotas.py
@@ -10,7 +10,7 @@
 """Most accounts with claims at once; a claim holds its account's number in two bytes."""
 
 
-class ClaimShares:
+class ClaimQuotas:
     """Count claims by account and decide who may have one more.
 
     Half of the table is cut into equal parts, one for each of a number of accounts, so an account
--- a/src/medlarfork/control/_claim_table.py
+++ b/src/medlarfork/control/_claim_table.py
@@ -7,7 +7,7 @@
 import itertools
 
 from medlarfork import claim, uuid7
-from medlarfork.control import _claim_rows, _claim_shares
+from medlarfork.control import _claim_quotas, _claim_rows
 
 _EXPIRED_PER_STEP = 1000
 """Most claims dropped in one step, so that the work of a step is bounded."""
@@ -30,7 +30,7 @@
         abandoned: How many abandoned holders are remembered.
         undated_retention_ms: The same as ``retention_ms`` for keys that carry no time. Nothing
             shows the age of such a key: sent again later than this, it runs again.
-        accounts: For how many client accounts room is always kept; see ``_claim_shares``.
+        accounts: For how many client accounts room is always kept; see ``_claim_quotas``.
         answers: Most answers kept; the oldest are dropped first.
     """
 
@@ -122,7 +122,7 @@
         self._abandoned = collections.OrderedDict.fromkeys(state.abandoned)
         packed = state.entries if isinstance(state.entries, PackedClaims) else None
         names = packed.accounts if packed else ()
-        self._shares = _claim_shares.ClaimShares(
+        self._shares = _claim_quotas.ClaimQuotas(
             claims=limits.claims, accounts=limits.accounts, names=names
         )
         if packed:
--- a/src/medlarfork/control/_control_log.py
+++ b/src/medlarfork/control/_control_log.py
@@ -11,7 +11,7 @@
 from medlarfork.replica import replica, replica_types
 
 
-class ReplicaPart(Protocol):
+class LogReplica(Protocol):
     """Keep the replicated log; ``replica.Replica`` is the real one."""
 
     @property
@@ -50,7 +50,7 @@
     def __init__(
         self,
         replica_id: str,
-        part: ReplicaPart,
+        part: LogReplica,
         state: replicated_state.ReplicatedState,
     ) -> None:
         """Join a replica and a state, both of which start empty or as restored."""
--- a/src/medlarfork/control/_delta_source.py
+++ b/src/medlarfork/control/_delta_cache.py
@@ -9,7 +9,7 @@
 from medlarfork.declared import configuration_delta
 
 
-class DeltaSource:
+class DeltaCache:
     """Make each delta to the current revision once; most entry hosts ask for the same one."""
 
     def __init__(self, state: replicated_state.ReplicatedState) -> None:
--- a/src/medlarfork/control/_heartbeat_service.py
+++ b/src/medlarfork/control/_heartbeat_service.py
@@ -9,7 +9,7 @@
 from medlarfork import heartbeat, member, node
 from medlarfork.control import (
     _control_log,
-    _delta_source,
+    _delta_cache,
     _member_leases,
     _view_history,
     control_types,
@@ -32,7 +32,7 @@
         """Start as a replica that does not lead; ``out_of_service`` lists such upstreams."""
         self._log = log
         self._out_of_service = out_of_service
-        self._deltas = _delta_source.DeltaSource(log.state)
+        self._deltas = _delta_cache.DeltaCache(log.state)
         self._leases: _member_leases.MemberLeases | None = None
         self.views = _view_history.ViewHistory(member.View())
         self._lease_lapsed = False
--- a/src/medlarfork/control/_operator_reads.py
+++ b/src/medlarfork/control/_operator_replies.py
@@ -5,7 +5,7 @@
 from medlarfork import errors
 from medlarfork.control import _member_leases, replicated_state
 from medlarfork.operator import operations
-from medlarfork.orders import order_desk
+from medlarfork.orders import order_manager
 
 
 def configuration(
@@ -61,7 +61,7 @@
 
 
 def known_upstreams(
-    desk: order_desk.OrderDesk | None, upstream_ids: tuple[str, ...]
+    desk: order_manager.OrderManager | None, upstream_ids: tuple[str, ...]
 ) -> operations.Reply:
     """Return which upstreams are reported, or a refusal if this replica hears no reports."""
     if desk is None:
@@ -70,7 +70,7 @@
     return operations.KnownUpstreams(tuple(item for item in upstream_ids if item in known))
 
 
-def orders(desk: order_desk.OrderDesk | None, now: float) -> operations.Reply:
+def orders(desk: order_manager.OrderManager | None, now: float) -> operations.Reply:
     """Return what engines are ordered, or a refusal if this deployment orders none."""
     if desk is None:
         return no_sub_state("orders")
--- a/src/medlarfork/control/_operator_service.py
+++ b/src/medlarfork/control/_operator_service.py
@@ -10,13 +10,13 @@
 from medlarfork.control import (
     _control_log,
     _heartbeat_service,
-    _operator_reads,
+    _operator_replies,
     control_types,
     replicated_state,
 )
 from medlarfork.declared import configuration
 from medlarfork.operator import operations
-from medlarfork.orders import order_desk
+from medlarfork.orders import order_manager
 from medlarfork.replica import replica_types
 
 CALL_LIMIT = 1_000
@@ -46,7 +46,7 @@
         heartbeats: _heartbeat_service.HeartbeatService,
         check: Check,
         http_address_by_replica_id: Mapping[str, str],
-        desk: order_desk.OrderDesk | None = None,
+        desk: order_manager.OrderManager | None = None,
     ) -> None:
         """Start with nothing in progress."""
         self._desk = desk
@@ -76,14 +76,14 @@
         call = self._call_by_proposal.pop(refused.proposal_id, None)
         if call is None:
             return []
-        reply = _operator_reads.uncertain() if refused.uncertain else self._not_leader()
+        reply = _operator_replies.uncertain() if refused.uncertain else self._not_leader()
         return _answer(call.call_id, reply)
 
     def end(self) -> list[Any]:
         """End the leadership: nothing that waits is certain any more."""
         calls = tuple(self._call_by_proposal.values())
         self._call_by_proposal.clear()
-        uncertain = _operator_reads.uncertain()
+        uncertain = _operator_replies.uncertain()
         return [action for call in calls for action in _answer(call.call_id, uncertain)]
 
     def _reply(
@@ -96,22 +96,22 @@
         if leases is None:
             return self._not_leader()
         if not self._log.holds_lease(now):
-            return _operator_reads.no_quorum()
+            return _operator_replies.no_quorum()
         match request:
             case operations.GetConfiguration(revision):
-                return _operator_reads.configuration(self._log.state, revision)
+                return _operator_replies.configuration(self._log.state, revision)
             case operations.GetHistory(limit):
                 records = self._log.state.history(min(limit, HISTORY_LIMIT))
                 return operations.HistoryReply(records)
             case operations.GetMembers():
-                return _operator_reads.members(leases, self._log.state.current.revision)
+                return _operator_replies.members(leases, self._log.state.current.revision)
             case operations.GetUpstreams(upstream_ids):
-                return _operator_reads.known_upstreams(self._desk, upstream_ids)
+                return _operator_replies.known_upstreams(self._desk, upstream_ids)
             case operations.GetInForce(revision):
                 current = self._log.state.current.revision
-                return _operator_reads.in_force(leases, revision, current)
+                return _operator_replies.in_force(leases, revision, current)
             case operations.GetOrders():
-                return _operator_reads.orders(self._desk, now)
+                return _operator_replies.orders(self._desk, now)
             case _:
                 return self._propose(call_id, request, now)
 
@@ -119,7 +119,7 @@
         self, call_id: str, request: operations.Request, now: float
     ) -> operations.Refused | None:
         if len(self._call_by_proposal) >= CALL_LIMIT:
-            return _operator_reads.overloaded()
+            return _operator_replies.overloaded()
         refused = self._refusal(request)
         if refused is not None:
             return refused
@@ -146,9 +146,9 @@
                 if self._log.state.remembers(change_id):
                     return None
                 findings = self._check(whole)
-                return _operator_reads.invalid(findings) if findings else None
+                return _operator_replies.invalid(findings) if findings else None
             case operations.AskSubState(name) if self._log.state.sub_state(name) is None:
-                return _operator_reads.no_sub_state(name)
+                return _operator_replies.no_sub_state(name)
             case operations.ChangeVoters(add, remove) if bool(add) == bool(remove):
                 return operations.Refused(
                     errors.Code.BAD_REQUEST,
@@ -172,7 +172,7 @@
     def _not_leader(self) -> operations.Refused:
         leader_id = self._log.other_leader_id
         address = self._http_address_by_replica_id.get(leader_id, "")
-        return _operator_reads.not_leader(leader_id, address)
+        return _operator_replies.not_leader(leader_id, address)
 
     def status(self, now: float) -> operations.StatusReply:
         """Return how this replica stands."""
@@ -191,7 +191,7 @@
             revision=self._log.state.current.revision,
             claims=self._log.state.claim_count,
             log_time_ms=self._log.state.log_time_ms,
-            members=() if leases is None else _operator_reads.member_statuses(leases),
+            members=() if leases is None else _operator_replies.member_statuses(leases),
         )
 
 
@@ -202,7 +202,7 @@
 def _reply_to(request: operations.Request, applied: Any) -> operations.Reply:
     match request:
         case operations.ApplyChange():
-            return _operator_reads.change_reply(applied)
+            return _operator_replies.change_reply(applied)
         case operations.AskSubState() if isinstance(applied, replicated_state.SubStateRefused):
             return operations.Refused(
                 errors.Code.BAD_REQUEST, applied.message, "Send a command of this version."
--- a/src/medlarfork/control/_order_sender.py
+++ b/src/medlarfork/control/_order_sender.py
@@ -38,16 +38,18 @@
             await task.cancel()
         await self._http.close()
 
-    async def send(self, action: order_types.OrderEngine | order_types.ReadBack) -> None:
+    async def send(self, action: order_types.OrderEngine | order_types.ReadEngineState) -> None:
         """Begin to carry out an action."""
         self._tasks.add(await curio.spawn(self._carry_out, action, daemon=True))
 
-    async def _carry_out(self, action: order_types.OrderEngine | order_types.ReadBack) -> None:
+    async def _carry_out(
+        self, action: order_types.OrderEngine | order_types.ReadEngineState
+    ) -> None:
         try:
             match action:
                 case order_types.OrderEngine():
                     await self._post(await self._client.order(action))
-                case order_types.ReadBack():
-                    await self._post(await self._client.read_back(action))
+                case order_types.ReadEngineState():
+                    await self._post(await self._client.read_state(action))
         finally:
             self._tasks.discard(await curio.current_task())
--- a/src/medlarfork/control/_view_history.py
+++ b/src/medlarfork/control/_view_history.py
@@ -8,7 +8,7 @@
 from medlarfork import heartbeat, member
 from medlarfork.control import _member_leases
 
-KEPT = 256
+MAX_CHANGES = 256
 """Past versions that a delta can start from; a host that holds an older one gets the whole view.
 
 Views are at least 0.1 s apart, so this covers several lost heartbeats in the busiest times.
@@ -30,7 +30,7 @@
     def __init__(self, view: member.View) -> None:
         """Start with the first view of a leadership."""
         self._view = view
-        self._changes: collections.deque[_Change] = collections.deque(maxlen=KEPT)
+        self._changes: collections.deque[_Change] = collections.deque(maxlen=MAX_CHANGES)
         self._delta_by_base: dict[tuple[int, int], heartbeat.ViewDelta | None] = {}
 
     def note(self, published: _member_leases.Publication) -> None:
--- a/src/medlarfork/control/control.py
+++ b/src/medlarfork/control/control.py
@@ -22,7 +22,7 @@
     replicated_state,
 )
 from medlarfork.operator import operations
-from medlarfork.orders import inventory, lease_types, order_desk, order_types
+from medlarfork.orders import inventory, lease_types, order_manager, order_types
 from medlarfork.replica import replica_types
 
 TRANSFER_RETRY_S = 0.5
@@ -39,11 +39,11 @@
         self,
         *,
         replica_id: str,
-        replica: _control_log.ReplicaPart,
+        replica: _control_log.LogReplica,
         state: replicated_state.ReplicatedState,
         check: _operator_service.Check,
         http_address_by_replica_id: Mapping[str, str],
-        desk: order_desk.OrderDesk | None = None,
+        desk: order_manager.OrderManager | None = None,
     ) -> None:
         """Wire the parts together.
 
@@ -98,16 +98,16 @@
         match event:
             case node.MessageReceived(sender, message):
                 self._take_message(sender, message, now)
-            case control_types.OperatorAsked(call_id, request):
+            case control_types.OperatorRequested(call_id, request):
                 self._actions += self._operators.take(call_id, request, now)
             case control_types.WallClock(unix_ms):
                 self._tell_clock(unix_ms, now)
-            case order_types.OrderDone() | order_types.ReadBackDone():
+            case order_types.OrderDone() | order_types.EngineStateRead():
                 self._tell_desk(event, now)
             case node.TimeDue():
                 self._tell_desk(event, now)
                 self._log.feed(event)
-            case control_types.StopAsked():
+            case control_types.StopRequested():
                 # A lease that is given up need not be waited out by the next leader.
                 self._tell_desk(lease_types.Stopping(), now)
                 self._stop_limit_at = min(self._stop_limit_at, now + STOP_LIMIT_S)
@@ -141,7 +141,9 @@
             self._send_not_leader(beat.member.entry_id)
             return
         self._actions += self._heartbeats.take(beat, now)
-        self._tell_desk(order_desk.EntryHeard(beat.member.entry_id, beat.inventory_digest), now)
+        self._tell_desk(
+            order_manager.EntryHeartbeat(beat.member.entry_id, beat.inventory_digest), now
+        )
 
     def _take_claim(self, sender: str, message: _claim_service.Message, now: float) -> None:
         if self._heartbeats.leases is None or self._is_stopping:
@@ -233,7 +235,7 @@
             return
         for action in self._desk.handle(event, now):
             match action:
-                case order_desk.ProposeToSubState(name, packed):
+                case order_manager.ProposeToSubState(name, packed):
                     at_ms = self._log.unix_ms(now)
                     self._log.propose(replicated_state.SubStateCommand(at_ms, name, packed))
                 case _:
@@ -244,7 +246,7 @@
         if self._desk is None or not self._leads or not isinstance(applied.reply, bytes):
             return
         command = replicated_state.COMMANDS.unpack(applied.command)
-        told = order_desk.CommandApplied(command.name, command.command, applied.reply)
+        told = order_manager.CommandApplied(command.name, command.command, applied.reply)
         self._tell_desk(told, now)
         version = self._desk.out_of_service.version
         if version != self._noted_out_of_service:
@@ -255,7 +257,7 @@
         for action in tuple(self._actions):
             if isinstance(action, control_types.ViewPublished):
                 for entry_id in action.left:
-                    self._tell_desk(order_desk.EntryLost(entry_id), now)
+                    self._tell_desk(order_manager.EntryLost(entry_id), now)
 
     def _turn_members_away(self) -> None:
         """Tell entry hosts to ask another replica, since this one may end before they ask it."""
--- a/src/medlarfork/control/control_program.py
+++ b/src/medlarfork/control/control_program.py
@@ -24,7 +24,7 @@
 from medlarfork.http import http_server
 from medlarfork.links import keys, link, wire
 from medlarfork.operator import operations, operations_api
-from medlarfork.orders import lease_table, order_desk, order_types, orders, weight_store
+from medlarfork.orders import lease_table, order_manager, order_types, orders, weight_load_scheduler
 from medlarfork.replica import _disk_writer, journal, replica, replica_types
 from medlarfork.settings import _settings_flag, planner_settings, program_exit
 
@@ -116,7 +116,7 @@
     async def stop(self) -> None:
         """Hand leadership over and return once no operator's call is in progress."""
         logs.event(_log, "stopping")
-        await self._post(control_types.StopAsked())
+        await self._post(control_types.StopRequested())
         await self._stopped.wait()
 
     async def wait_failed(self) -> None:
@@ -151,7 +151,7 @@
                 self._link.send(to, message)
             case node.Persist() | replica_types.SaveSnapshot():
                 await self._writer.write(action)
-            case order_types.OrderEngine() | order_types.ReadBack():
+            case order_types.OrderEngine() | order_types.ReadEngineState():
                 _log_action(action)
                 await self._orders.send(action)
             case control_types.OperatorAnswered(call_id, reply):
@@ -182,7 +182,7 @@
         call_id = str(next(self._call_numbers))
         replies = self._replies_by_call[call_id] = curio.Queue()
         try:
-            await self._post(control_types.OperatorAsked(call_id, request))
+            await self._post(control_types.OperatorRequested(call_id, request))
             reply = await curio.ignore_after(_ANSWER_LIMIT_S, replies.get)
         finally:
             del self._replies_by_call[call_id]
@@ -195,7 +195,9 @@
 def _planner_settings(
     given: control_settings.ControlSettings,
 ) -> planner_settings.PlannerSettings:
-    store = weight_store.StoreSettings(given.weight_bytes_per_second, given.weight_lanes)
+    store = weight_load_scheduler.WeightStoreSettings(
+        given.weight_bytes_per_second, given.weight_lanes
+    )
     return planner_settings.PlannerSettings(
         store,
         max_order_s=given.order_limit_s,
@@ -204,17 +206,21 @@
     )
 
 
-def _make_desk(given: control_settings.ControlSettings) -> order_desk.OrderDesk:
+def _make_desk(given: control_settings.ControlSettings) -> order_manager.OrderManager:
     # Each start is another holder: what an earlier process ordered may still be under way.
     holder = f"{given.replica_id}-{secrets.token_hex(8)}"
-    options = order_desk.DeskOptions(holder, _planner_settings(given), given.order_lease_s)
-    return order_desk.OrderDesk(options, board=orders.OrderBoard(), table=lease_table.LeaseTable())
+    options = order_manager.OrderManagerOptions(
+        holder, _planner_settings(given), given.order_lease_s
+    )
+    return order_manager.OrderManager(
+        options, board=orders.OrderBoard(), table=lease_table.LeaseTable()
+    )
 
 
 def _make_node(
     given: control_settings.ControlSettings,
     restored: replica_types.Restored,
-    desk: order_desk.OrderDesk,
+    desk: order_manager.OrderManager,
 ) -> control.ControlNode:
     ids = tuple(address.replica_id for address in given.replicas)
     part = replica.Replica(
--- a/src/medlarfork/control/control_types.py
+++ b/src/medlarfork/control/control_types.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OperatorAsked:
+class OperatorRequested:
     """Event: an authenticated operator asks something; ``OperatorAnswered`` follows once."""
 
     call_id: str
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StopAsked:
+class StopRequested:
     """Event: the process was told to stop gracefully (SIGTERM); ``Stopped`` follows once."""
 
 
--- a/src/medlarfork/coordination/backpressure_desk.py
+++ b/src/medlarfork/coordination/backpressure_manager.py
@@ -18,11 +18,11 @@
 """Least time between two reports to entry hosts, in seconds: hosts that place alone wait for an
 owner for about as long, and hundreds of hosts are told."""
 
-MOST_TOLD = 500
+MAX_UPSTREAMS_PER_REPORT = 500
 """Upstreams in one report, about 20 KB; the rest follows."""
 
 
-class BackpressureDesk:
+class BackpressureManager:
     """Hold the ledger of one replica, and the gate of its placement; the time is handed in."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         merged = self.ledger.merge(report, now)
         self._untold.update(dict.fromkeys((*merged.changed, *merged.outdated)))
         return tuple(
-            coordinator_types.Noted(
+            coordinator_types.LogEvent(
                 "upstream_limit", {"upstream": name, "rate_limit": self.ledger.rate(name)}
             )
             for name in merged.changed
@@ -55,7 +55,7 @@
         if now < self._push_due:
             return (node.Wake(self._push_due),)
         self._push_due = now + PUSH_PERIOD_S
-        names = tuple(self._untold)[:MOST_TOLD]
+        names = tuple(self._untold)[:MAX_UPSTREAMS_PER_REPORT]
         for name in names:
             del self._untold[name]
         report = self.ledger.report(names, now)
@@ -63,7 +63,9 @@
 
     def whole(self, entry_id: str, now: float) -> signal_messages.SignalReport:
         """Return all that concerns an entry host, for one that has just come."""
-        return self.ledger.report(self.ledger.known()[-MOST_TOLD:], now, entry_id=entry_id)
+        return self.ledger.report(
+            self.ledger.known()[-MAX_UPSTREAMS_PER_REPORT:], now, entry_id=entry_id
+        )
 
     def tell_replica(self, replica_id: str, now: float) -> tuple[node.Send, ...]:
         """Tell a replica that has just started everything, before it owns placement."""
@@ -72,7 +74,7 @@
 
     def on_time(self, now: float) -> None:
         """Have what is new told once more, and forget what is old."""
-        for name in self.ledger.changed_since(now - signal_messages.RETELL_S):
+        for name in self.ledger.changed_since(now - signal_messages.RESEND_WINDOW_S):
             self._untold[name] = None
         self.ledger.tidy(now)
-        self.gate.forget_lifted()
+        self.gate.evict_unlimited()
--- a/src/medlarfork/coordination/coordination_messages.py
+++ b/src/medlarfork/coordination/coordination_messages.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from medlarfork.coordination import status_pace, upstream_types
+from medlarfork.coordination import status_period, upstream_types
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
             where they were told before.
         entry_hosts: Most entry hosts heard of lately, among which shared budgets are divided.
         up_s: How long the replica has run, in seconds.
-        period_s: Time until its next status, in seconds (see ``status_pace``).
+        period_s: Time until its next status, in seconds (see ``status_period``).
         wall_s: Its time of day, in Unix seconds; 0 if it does not say.
     """
 
@@ -51,7 +51,7 @@
     members: tuple[str, ...]
     entry_hosts: int
     up_s: float = 0.0
-    period_s: float = status_pace.SHORTEST_S
+    period_s: float = status_period.MIN_PERIOD_S
     wall_s: float = 0.0
 
 
--- a/src/medlarfork/coordination/coordinator.py
+++ b/src/medlarfork/coordination/coordinator.py
@@ -20,22 +20,22 @@
 from medlarfork import node
 from medlarfork.backpressure import signal_messages
 from medlarfork.coordination import (
-    backpressure_desk,
+    backpressure_manager,
     coordination_messages,
     coordinator_types,
-    crash_desk,
-    decision_notes,
-    duty_desk,
+    crash_manager,
+    decision_log,
+    duty_manager,
     entry_directory,
     entry_feed,
-    member_desk,
-    routing_desk,
+    membership_manager,
+    routing_manager,
     routing_state,
-    upstream_desk,
+    upstream_manager,
     upstream_registry,
 )
 from medlarfork.duties import duty_types, engine_messages, usage_messages
-from medlarfork.placement import owner, placement_answer, placement_messages
+from medlarfork.placement import owner, placement_decision, placement_messages
 from medlarfork.quarantine import crash_messages
 from medlarfork.replica import replica, replica_types
 from medlarfork.routes import routing
@@ -52,7 +52,7 @@
 leaves, which are told at once. At a start each upstream would else be a message from each replica
 to each entry host."""
 
-TIDY_PERIOD_S = 1.0
+CLEANUP_PERIOD_S = 1.0
 """How often the owner looks for runs whose end was never reported, in seconds: they take many."""
 
 LOAD_PERIOD_S = 0.25
@@ -97,17 +97,17 @@
         self._replica = part
         self._decode = decode
         self._state = routing_state.RoutingState()
-        self._routing_desk = routing_desk.RoutingDesk(replica_id, self._state)
+        self._routing_desk = routing_manager.RoutingManager(replica_id, self._state)
         self._registry = upstream_registry.UpstreamRegistry(announce_period_s=announce_period_s)
-        self._upstreams = upstream_desk.UpstreamDesk(self._registry)
-        self._members = member_desk.MemberDesk(replica_id, seeds)
+        self._upstreams = upstream_manager.UpstreamManager(self._registry)
+        self._members = membership_manager.MembershipManager(replica_id, seeds)
         self._entries = entry_directory.EntryDirectory(ttl_s=ttl_s)
         self._feed = entry_feed.EntryFeed(boot=boot)
-        self._backpressure = backpressure_desk.BackpressureDesk()
-        self._owner = owner.Owner(self._backpressure.gate)
-        self._crashes = crash_desk.CrashDesk(replica_id)
+        self._backpressure = backpressure_manager.BackpressureManager()
+        self._owner = owner.PlacementOwner(self._backpressure.gate)
+        self._crashes = crash_manager.CrashManager(replica_id)
         self._boot = boot
-        self.duties = duty_desk.DutyDesk(replica_id, boot, duties, self._state.duties)
+        self.duties = duty_manager.DutyManager(replica_id, boot, duties, self._state.duties)
         self._wall_offset_s: float | None = None
         self._load_due = -math.inf
         self._role = replica_types.Role.FOLLOWER
@@ -149,9 +149,9 @@
         self._serve_waiting()
         if now >= self._tick_due:
             self._tick()
-        for answer in self._owner.take_decisions():
+        for answer in self._owner.drain_decisions():
             self._crashes.on_decided(answer)
-            self._actions.append(decision_notes.noted(answer))
+            self._actions.append(decision_log.log_event(answer))
         return tuple(self._actions)
 
     def gauges(self) -> dict[str, float]:
@@ -191,7 +191,7 @@
             case coordination_messages.UpstreamGossip():
                 self._members.hear(sender, self._now)
                 if message.is_whole:
-                    self._members.got_upstreams(sender)
+                    self._members.record_upstreams_received(sender)
                 self._actions += self._upstreams.on_gossip(sender, message, self._now)
             case coordination_messages.GossipReceipt():
                 self._actions += self._upstreams.on_receipt(sender, message)
@@ -214,8 +214,8 @@
             case placement_messages.PlaceRequest() if message.trial_key:
                 refused = self._crashes.ask_trial(message, self._now)
                 if refused is not None:
-                    answer = placement_answer.Answer(sender, refused)
-                    self._actions += [decision_notes.noted(answer), node.Send(sender, refused)]
+                    answer = placement_decision.Decision(sender, refused)
+                    self._actions += [decision_log.log_event(answer), node.Send(sender, refused)]
                     return
             case placement_messages.RunEnded():
                 self._crashes.on_ended(message, self._now)
@@ -408,9 +408,9 @@
         """Do what is due by time."""
         self._tick_due = self._now + TICK_S
         self._actions += self._routing_desk.expire(self._now)
-        misses_peer = self._members.misses_peer(self._now)
+        has_silent_peer = self._members.has_silent_peer(self._now)
         self._actions += self._upstreams.on_time(
-            self._members.peers, self._now, misses_peer=misses_peer
+            self._members.peers, self._now, has_silent_peer=has_silent_peer
         )
         self._push_view()
         self._look_after_entries()
@@ -461,7 +461,7 @@
     def _tidy_placement(self) -> None:
         if self._now < self._tidy_due:
             return
-        self._tidy_due = self._now + TIDY_PERIOD_S
+        self._tidy_due = self._now + CLEANUP_PERIOD_S
         overdue = self._owner.tidy(self._now)
         if overdue:
             self._note("run_ends_missed", runs=overdue)
@@ -471,7 +471,7 @@
         present = self._entries.status_by_id(self._now)
         for entry_id in self._entry_ids - present.keys():
             self._note("entry_host_silent", entry=entry_id)
-            self._actions += self._owner.forget_entry(entry_id, self._now)
+            self._actions += self._owner.release_entry(entry_id, self._now)
         self._entry_ids = frozenset(present)
         self._owner.use_entries(self._entry_ids, self._entries.hosts)
         self._feed.forget_missing(present)
@@ -507,4 +507,4 @@
         self._actions.append(coordinator_types.OperationDone(operation_id, reply))
 
     def _note(self, event: str, **fields: Any) -> None:
-        self._actions.append(coordinator_types.Noted(event, fields))
+        self._actions.append(coordinator_types.LogEvent(event, fields))
--- a/src/medlarfork/coordination/coordinator_command.py
+++ b/src/medlarfork/coordination/coordinator_command.py
@@ -32,9 +32,9 @@
         port = int(given.serve.rpartition(":")[2])
         program = coordinator_program.CoordinatorProgram(
             given,
-            speaks=operations_format.OwnFormat(http_port=port),
+            api_format=operations_format.OwnFormat(http_port=port),
             read_seeds=lambda: _read().seeds,
-            speaks_to_platform=platform_format.OwnFormat(given.replica_id),
+            platform_api_format=platform_format.DefaultFormat(given.replica_id),
         )
         _quick_start.end()
         curio.run(coordinator_program.run_until_stopped, program)
--- a/src/medlarfork/coordination/coordinator_program.py
+++ b/src/medlarfork/coordination/coordinator_program.py
@@ -64,13 +64,13 @@
         self,
         given: coordinator_settings.CoordinatorSettings,
         *,
-        speaks: operations_format.OperationsFormat,
+        api_format: operations_format.OperationsFormat,
         read_seeds: ReadSeeds,
-        speaks_to_platform: platform_format.PlatformFormat,
+        platform_api_format: platform_format.PlatformFormat,
     ) -> None:
         """Wire the parts; nothing is opened before ``start``."""
         self._given = given
-        self._speaks = speaks
+        self._speaks = api_format
         self._read_seeds = read_seeds
         self._journal = journal.Journal(pathlib.Path(given.data_folder))
         self._disk = _disk_writer.DiskWriter(
@@ -100,9 +100,9 @@
             if given.duties.is_empty
             else platform_caller.PlatformCaller(
                 given.duties.address,
-                speaks=speaks_to_platform,
+                api_format=platform_api_format,
                 may_act=self._may_act,
-                on_end=self._on_platform_called,
+                on_call_end=self._on_platform_called,
             )
         )
         self._metrics = coordinator_metrics.CoordinatorMetrics(self._gauges)
@@ -219,7 +219,7 @@
                 await self._platform.call(action)
             case coordinator_types.ConnectReplica(replica_id):
                 self._link.connect(replica_id, f"tcp://{replica_id}:{self._given.link_port}")
-            case coordinator_types.Noted(event, fields):
+            case coordinator_types.LogEvent(event, fields):
                 self._metrics.count_event(event)
                 if "waited_ms" in fields:
                     self._metrics.time_placement(fields["waited_ms"] / 1000.0)
--- a/src/medlarfork/coordination/coordinator_types.py
+++ b/src/medlarfork/coordination/coordinator_types.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from medlarfork.coordination import upstream_types
-from medlarfork.duties import duty_types, engine_duty
+from medlarfork.duties import duty_types, engine_autoscaler
 from medlarfork.quarantine import crash_messages
 
 
@@ -142,7 +142,7 @@
     is_holder: bool
     usage: tuple[UsageWindow, ...]
     calls: tuple[duty_types.PlatformCall, ...]
-    needs: tuple[engine_duty.Need, ...]
+    needs: tuple[engine_autoscaler.Need, ...]
 
 
 Reply = (
@@ -189,7 +189,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Noted:
+class LogEvent:
     """Action: log what changed in the coordinator's beliefs; ``fields`` are its inputs."""
 
     event: str
--- a/src/medlarfork/coordination/duty_desk.py
+++ b/src/medlarfork/coordination/duty_manager.py
@@ -14,9 +14,9 @@
 from medlarfork import node
 from medlarfork.coordination import coordinator_types, routing_state, upstream_types
 from medlarfork.duties import (
-    duty_log,
+    duty_state,
     duty_types,
-    engine_duty,
+    engine_autoscaler,
     engine_messages,
     usage_duty,
     usage_ledger,
@@ -26,7 +26,7 @@
 from medlarfork.replica import replica_types
 from medlarfork.routes import routing
 
-LEASE = "duties"
+LEASE_NAME = "duties"
 """Name of the lease in the log; one for all duties, since one replica has them all."""
 
 LEASE_MARGIN = 1.1
@@ -42,7 +42,7 @@
 """How often the number of engines is looked at, in seconds: a small part of an engine's start."""
 
 
-class DutyDesk:
+class DutyManager:
     """Hold one replica's part in the duties; the time is handed in."""
 
     def __init__(
@@ -50,7 +50,7 @@
         replica_id: str,
         boot: int,
         settings: duty_types.DutySettings,
-        log: duty_log.DutyLog,
+        log: duty_state.DutyState,
     ) -> None:
         """Start without the lease.
 
@@ -68,12 +68,12 @@
         renew_s = RENEW_SHARE * duration_s
         self.lease = fenced_lease.FencedLease(
             fenced_lease.LeaseSettings(
-                LEASE, self._holder, duration_s, renew_s=renew_s, retry_s=renew_s
+                LEASE_NAME, self._holder, duration_s, renew_s=renew_s, retry_s=renew_s
             )
         )
         self._ledger = usage_ledger.UsageLedger(boot)
         self._usage = usage_duty.UsageDuty(log, random.Random(boot))
-        self._engines = engine_duty.EngineDuty(settings.engine_margin)
+        self._engines = engine_autoscaler.EngineAutoscaler(settings.engine_margin)
         self._call_by_id: dict[int, duty_types.PlatformCall] = {}
         self._calls = 0
         self._proposals = 0
@@ -108,8 +108,8 @@
             for window, fixed in sorted(self._log.usage_by_window.items())
         )
         return coordinator_types.DutiesFound(
-            holder=self._log.holder(LEASE),
-            fence=self._log.fence(LEASE),
+            holder=self._log.holder(LEASE_NAME),
+            fence=self._log.fence(LEASE_NAME),
             is_holder=self.lease.may_act(now),
             usage=usage,
             calls=tuple(self._call_by_id.values()),
@@ -133,17 +133,17 @@
             case usage_messages.UsageTold():
                 return (node.Send(sender, self._ledger.take(sender, message, now)),)
             case engine_messages.LoadTold():
-                self._engines.take_load(sender, message, now)
+                self._engines.update_load(sender, message, now)
         return ()
 
     def on_applied(self, applied: Any, now: float) -> tuple[Any, ...]:
         """Take what came of a command of the duties in the log."""
         match applied:
-            case duty_log.LeaseApplied(command, reply) if command.holder == self._holder:
+            case duty_state.LeaseApplied(command, reply) if command.holder == self._holder:
                 is_take = isinstance(command, lease_types.TakeLease)
                 kind = lease_types.TakeCommitted if is_take else lease_types.RenewCommitted
                 return self._run_lease(kind(command.attempt, reply), now)
-            case duty_log.FixUsage(window, counts):
+            case duty_state.FixUsage(window, counts):
                 self._ledger.drop(window)
                 total = sum(counts.values())
                 return (_noted("usage_fixed", window=window, requests=total, accounts=len(counts)),)
@@ -157,11 +157,11 @@
         actions: list[Any] = [_noted("platform_called", end=ended.end.value, **_fields(call))]
         match call:
             case duty_types.ReportUsage():
-                command = self._usage.on_end(call, ended.end, now)
+                command = self._usage.on_call_end(call, ended.end, now)
                 if command is not None:
                     actions.append(self._propose(command))
-            case duty_types.OrderEngines():
-                self._engines.on_end(call, ended.end, now)
+            case duty_types.ScaleEngines():
+                self._engines.on_call_end(call, ended.end, now)
         if _needs_higher_fence(call, ended.end):
             actions += self._run_lease(lease_types.RaiseFence(), now)
         return tuple(actions)
@@ -181,7 +181,7 @@
             return tuple(actions)
         self._refill(now)
         if self._settings.has(duty_types.USAGE):
-            fixes = self._usage.to_fix(self._ledger, entry_ids, now)
+            fixes = self._usage.windows_to_fix(self._ledger, entry_ids, now)
             actions += [self._propose(fix) for fix in fixes]
             actions += self._report(now)
         if self._settings.has(duty_types.ENGINES) and now >= self._engines_due:
@@ -199,7 +199,7 @@
         self, present: tuple[upstream_types.Announcement, ...], now: float
     ) -> tuple[Any, ...]:
         actions: list[Any] = []
-        orders = self._engines.next_orders(present, now)
+        orders = self._engines.next_requests(present, now)
         if orders:
             actions += [
                 _noted("engines_needed", **dataclasses.asdict(need)) for need in self._engines.needs
@@ -208,7 +208,7 @@
             if self._may_call():
                 actions.append(self._call(order))
             else:
-                self._engines.on_end(order, duty_types.CallEnd.NOT_SENT, now)
+                self._engines.on_call_end(order, duty_types.CallEnd.NOT_SENT, now)
         return tuple(actions)
 
     def _call(self, call: duty_types.PlatformCall) -> duty_types.CallPlatform:
@@ -233,7 +233,7 @@
                     actions.append(self._propose(command))
                 case lease_types.Acquired(fence):
                     if fence != self._last_fence + 1:
-                        self._engines.take_over(self._started_at, now)
+                        self._engines.on_duty_acquired(self._started_at, now)
                     self._last_fence = fence
                     actions.append(_noted("duties_taken", fence=fence))
                 case lease_types.Lost(fence):
@@ -256,14 +256,14 @@
     """
     if end is duty_types.CallEnd.REFUSED:
         return True
-    return end is duty_types.CallEnd.UNKNOWN and isinstance(call, duty_types.OrderEngines)
+    return end is duty_types.CallEnd.UNKNOWN and isinstance(call, duty_types.ScaleEngines)
 
 
 def _fields(call: duty_types.PlatformCall) -> dict[str, Any]:
     match call:
         case duty_types.ReportUsage(window, counts):
             return {"call": "usage", "window": window, "requests": sum(counts.values())}
-        case duty_types.OrderEngines(service, zone, count, is_spot):
+        case duty_types.ScaleEngines(service, zone, count, is_spot):
             return {
                 "call": "engines",
                 "service": service,
@@ -273,5 +273,5 @@
             }
 
 
-def _noted(event: str, **fields: Any) -> coordinator_types.Noted:
-    return coordinator_types.Noted(event, fields)
+def _noted(event: str, **fields: Any) -> coordinator_types.LogEvent:
+    return coordinator_types.LogEvent(event, fields)
--- a/src/medlarfork/coordination/entry_directory.py
+++ b/src/medlarfork/coordination/entry_directory.py
@@ -4,17 +4,17 @@
 
 import dataclasses
 
-from medlarfork.coordination import coordination_messages, coordinator_types, status_pace
+from medlarfork.coordination import coordination_messages, coordinator_types, status_period
 
-HEARD_WITHIN_S = 1.5
+SILENCE_TIMEOUT_S = 1.5
 """Silence after which an entry host is not named any more, in seconds: about four of its periodic
 messages, and in large fleets at least two and a half."""
 
-REMEMBER_S = 20.0
+RETENTION_S = 20.0
 """How long an entry host counts for shared budgets after its last message, in seconds: twice the
 window over which the budgets are kept, so that a host that is back has used its share only once."""
 
-NEAR_ENOUGH = 2
+MIN_LOCAL_HOSTS = 2
 """Ready entry hosts in the caller's own zone that suffice; with fewer, all zones are named, so
 that the loss of one host leaves the caller another to try."""
 
@@ -41,11 +41,11 @@
     @property
     def period_s(self) -> float:
         """Return how often hosts are told of this replica, and tell of themselves, in seconds."""
-        return status_pace.period_s(self.hosts)
+        return status_period.period_s(self.hosts)
 
     def status_by_id(self, now: float) -> dict[str, coordination_messages.EntryStatus]:
         """Return the entry hosts that were heard of lately."""
-        oldest = now - max(HEARD_WITHIN_S, status_pace.HEARD_PERIODS * self.period_s)
+        oldest = now - max(SILENCE_TIMEOUT_S, status_period.DIRECTORY_PERIODS * self.period_s)
         return {
             entry_id: heard.status
             for entry_id, heard in self._heard_by_id.items()
@@ -56,7 +56,7 @@
         """Take an entry host's own word."""
         self._heard_by_id[entry_id] = _Heard(status, now)
         for other_id, heard in tuple(self._heard_by_id.items()):
-            if heard.at < now - REMEMBER_S:
+            if heard.at < now - RETENTION_S:
                 del self._heard_by_id[other_id]
 
     def find(self, zone: str, now: float) -> coordinator_types.Reply:
@@ -65,5 +65,5 @@
         if not ready:
             return coordinator_types.Unavailable("No entry host is known to be ready.")
         near = [status.address for status in ready if status.zone == zone]
-        addresses = near if len(near) >= NEAR_ENOUGH else [status.address for status in ready]
+        addresses = near if len(near) >= MIN_LOCAL_HOSTS else [status.address for status in ready]
         return coordinator_types.EntriesFound(tuple(sorted(addresses)), self._ttl_s)
--- a/src/medlarfork/coordination/entry_feed.py
+++ b/src/medlarfork/coordination/entry_feed.py
@@ -16,7 +16,7 @@
 from medlarfork.coordination import (
     coordination_messages,
     routing_state,
-    status_pace,
+    status_period,
     upstream_types,
 )
 
@@ -52,7 +52,7 @@
 
     def __init__(self, *, boot: int) -> None:
         """Start with a number that tells this start of the replica from every other."""
-        self.period_s = status_pace.SHORTEST_S
+        self.period_s = status_period.MIN_PERIOD_S
         self._boot = boot
         self._sequence = 0
         self._confirmable_sequence = 0
@@ -61,11 +61,11 @@
 
     @property
     def _confirm_s(self) -> float:
-        return status_pace.CONFIRM_PERIODS * self.period_s
+        return status_period.CONFIRM_PERIODS * self.period_s
 
     @property
     def _resend_s(self) -> float:
-        return status_pace.RESEND_PERIODS * self.period_s
+        return status_period.RESEND_PERIODS * self.period_s
 
     def push_view(
         self, change: upstream_types.ViewChange, entry_ids: Iterable[str], now: float
--- a/src/medlarfork/coordination/member_desk.py
+++ b/src/medlarfork/coordination/membership_manager.py
@@ -13,38 +13,38 @@
 """How often replicas tell each other that they run, in seconds: a new one has then asked several
 times before it must have caught up."""
 
-QUESTION_PERIOD_S = 0.1
+STARTUP_HELLO_PERIOD_S = 0.1
 """How often a replica that has just started asks the others for the upstreams, in seconds: links to
 processes that start with it come up within that time, and callers wait for what it learns."""
 
-QUESTIONS_S = 3.0
+STARTUP_S = 3.0
 """How long it asks so often, in seconds; then with each hello."""
 
 CHANGE_PERIOD_S = 0.4
 """Pause between requested changes of the membership, in seconds: a few round trips and syncs."""
 
-SILENT_S = 3.0
+SILENCE_TIMEOUT_S = 3.0
 """Silence after which a voter may be let go where that shrinks no majority's margin, in seconds:
 longer than a process needs to be started again."""
 
 
-MISSED_S = 1.3
+MISSING_AFTER_S = 1.3
 """Silence after which a replica counts as missed, in seconds: more than two of its hellos."""
 
-MISSED_UNTIL_S = 15.0
+MISSING_UNTIL_S = 15.0
 """Silence after which it does not any more, in seconds: upstreams have long found another replica
 if it is down, and a cut that lasts so long is no passing one."""
 
-HEALED_S = 2.5
+HEAL_GRACE_S = 2.5
 """How long a replica that is heard again still counts as missed, in seconds: two periods in which
 upstreams announce themselves, until what it heard meanwhile has arrived. Without it replicas drop
 upstreams that announced themselves on the other side as soon as a cut is over."""
 
-FORGET_S = 60.0
+FORGET_AFTER_S = 60.0
 """Silence after which a replica that is no member is not looked for any more, in seconds."""
 
 
-class MemberDesk:
+class MembershipManager:
     """Decide whom to connect to, and on the leader who is a member; pure."""
 
     def __init__(self, replica_id: str, seeds: tuple[str, ...]) -> None:
@@ -80,19 +80,19 @@
         self._seeds = seeds
         self.learn(seeds)
 
-    def misses_peer(self, now: float) -> bool:
+    def has_silent_peer(self, now: float) -> bool:
         """Say whether another replica fell silent lately: upstreams may still be heard there.
 
         Ask it often: how long ago one was missed is known from the times at which this was asked.
         """
         if any(
-            MISSED_S < now - heard_at <= MISSED_UNTIL_S
+            MISSING_AFTER_S < now - heard_at <= MISSING_UNTIL_S
             for heard_at in self._heard_at_by_id.values()
         ):
             self._missed_at = now
-        return now - self._missed_at <= HEALED_S
+        return now - self._missed_at <= HEAL_GRACE_S
 
-    def got_upstreams(self, sender: str) -> None:
+    def record_upstreams_received(self, sender: str) -> None:
         """Note that another replica has told all the upstreams that it knew."""
         self._told_by.add(sender)
 
@@ -121,7 +121,8 @@
         known = tuple(
             peer
             for peer in self._known
-            if now - self._heard_at_by_id.get(peer, -1e9) < SILENT_S or peer == self._replica_id
+            if now - self._heard_at_by_id.get(peer, -1e9) < SILENCE_TIMEOUT_S
+            or peer == self._replica_id
         )
         actions: list[Any] = []
         for peer in self.peers:
@@ -132,14 +133,14 @@
         return actions
 
     def _hello_period_s(self, now: float) -> float:
-        asks = now < self._started_at + QUESTIONS_S and not self._told_by.issuperset(self.peers)
-        return QUESTION_PERIOD_S if asks else HELLO_PERIOD_S
+        asks = now < self._started_at + STARTUP_S and not self._told_by.issuperset(self.peers)
+        return STARTUP_HELLO_PERIOD_S if asks else HELLO_PERIOD_S
 
     def _is_silent(self, member: str, now: float) -> bool:
         """Say whether a member is silent; a new leader first gives everyone time to speak."""
         led_since = now if self._leads_since is None else self._leads_since
         since = max(self._heard_at_by_id.get(member, -math.inf), led_since)
-        return now - since > SILENT_S
+        return now - since > SILENCE_TIMEOUT_S
 
     def _forget_lost(self, status: replica.ReplicaStatus, now: float) -> None:
         """Stop looking for replicas that are neither members nor heard of nor named as seeds."""
@@ -149,7 +150,7 @@
             heard_at = self._heard_at_by_id.get(peer)
             if peer in members or peer in self._seeds or heard_at is None:
                 continue
-            if now - heard_at > FORGET_S:
+            if now - heard_at > FORGET_AFTER_S:
                 del self._known[peer]
                 del self._heard_at_by_id[peer]
 
--- a/src/medlarfork/coordination/operations_format.py
+++ b/src/medlarfork/coordination/operations_format.py
@@ -114,7 +114,7 @@
             ):
                 return HttpReply(200, _JSON, msgspec.json.encode(reply))
             case coordinator_types.AskLeader(leader_id):
-                return ask_leader(leader_id, self._http_port, target)
+                return redirect_to_leader(leader_id, self._http_port, target)
             case coordinator_types.Unavailable(why):
                 return unavailable(why)
 
@@ -123,27 +123,27 @@
     try:
         announced = msgspec.json.decode(body, type=upstream_types.Announcement)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise unreadable_announcement(error) from error
+        raise invalid_announcement(error) from error
     upstream_id = upstream_types.incarnation_id(name, announced.born_ms)
     named = dataclasses.replace(
         announced, upstream_id=upstream_id, name=name if announced.born_ms else ""
     )
-    return usable(named)
+    return checked_announcement(named)
 
 
-def usable(announcement: upstream_types.Announcement) -> upstream_types.Announcement:
+def checked_announcement(announcement: upstream_types.Announcement) -> upstream_types.Announcement:
     """Return an announcement that names an upstream that could be used.
 
     Raises:
         errors.RequestRefusedError: It does not, so it is as if it had not come.
     """
-    fault = upstream_types.fault(announcement)
+    fault = upstream_types.invalid_reason(announcement)
     if fault:
-        raise unreadable_announcement(ValueError(fault))
+        raise invalid_announcement(ValueError(fault))
     return announcement
 
 
-def ask_leader(leader_id: str, http_port: int, target: str) -> HttpReply:
+def redirect_to_leader(leader_id: str, http_port: int, target: str) -> HttpReply:
     """Return the reply that sends the caller to the leader."""
     return HttpReply(307, {"Location": f"http://{leader_id}:{http_port}{target}"})
 
@@ -163,7 +163,7 @@
     )
 
 
-def unreadable_announcement(cause: Exception) -> errors.RequestRefusedError:
+def invalid_announcement(cause: Exception) -> errors.RequestRefusedError:
     """Return the error for an announcement that can't be read."""
     return errors.RequestRefusedError(
         f"The announcement can't be read: {cause}.",
--- a/src/medlarfork/coordination/routing_desk.py
+++ b/src/medlarfork/coordination/routing_manager.py
@@ -18,7 +18,7 @@
     until: float
 
 
-class RoutingDesk:
+class RoutingManager:
     """Turn operators' operations into proposals and replies; pure."""
 
     def __init__(self, replica_id: str, state: routing_state.RoutingState) -> None:
--- a/src/medlarfork/coordination/routing_state.py
+++ b/src/medlarfork/coordination/routing_state.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from medlarfork import codec
-from medlarfork.duties import duty_log
+from medlarfork.duties import duty_state
 
 _COMPRESSION_LEVEL = 1
 """The fastest level: it holds up the leader for each change."""
@@ -60,14 +60,14 @@
 
     current: RoutingVersion
     held: tuple[HeldRequest, ...] = ()
-    duties: duty_log.DutySnapshot = dataclasses.field(default_factory=duty_log.DutySnapshot)
+    duties: duty_state.DutySnapshot = dataclasses.field(default_factory=duty_state.DutySnapshot)
 
 
-MOST_HELD = 1000
+MAX_HELD = 1000
 """Held requests that the log keeps, some 200 KB; the first ones give way."""
 
 _CODEC = codec.Codec(
-    (RoutingVersion, HeldRequest, LiftedRequest, RoutingSnapshot, *duty_log.COMMANDS)
+    (RoutingVersion, HeldRequest, LiftedRequest, RoutingSnapshot, *duty_state.COMMANDS)
 )
 
 
@@ -83,7 +83,7 @@
 
 
 def pack_duty(command: Any) -> bytes:
-    """Return the log command of a duty (see ``duty_log.COMMANDS``)."""
+    """Return the log command of a duty (see ``duty_state.COMMANDS``)."""
     return _CODEC.pack(command)
 
 
@@ -100,7 +100,7 @@
         """Start without a version."""
         self.current = RoutingVersion()
         self.held_by_key: dict[str, HeldRequest] = {}
-        self.duties = duty_log.DutyLog()
+        self.duties = duty_state.DutyState()
 
     def apply(self, command: bytes) -> Any:
         """Apply a committed command and return it, or what came of it, if it changed anything."""
@@ -112,7 +112,7 @@
                 self.current = offered
             case HeldRequest(key):
                 self.held_by_key[key] = offered
-                if len(self.held_by_key) > MOST_HELD:
+                if len(self.held_by_key) > MAX_HELD:
                     del self.held_by_key[next(iter(self.held_by_key))]
             case LiftedRequest(key):
                 if self.held_by_key.pop(key, None) is None:
@@ -136,4 +136,4 @@
             case RoutingVersion() as current:
                 self.current = current
                 self.held_by_key = {}
-                self.duties.restore(duty_log.DutySnapshot())
+                self.duties.restore(duty_state.DutySnapshot())
--- a/src/medlarfork/coordination/status_pace.py
+++ b/src/medlarfork/coordination/status_period.py
@@ -7,14 +7,14 @@
 
 from __future__ import annotations
 
-SHORTEST_S = 0.4
+MIN_PERIOD_S = 0.4
 """Period of fleets up to 120 hosts, in seconds: a lost replica is passed over within half a second,
 and each tenth of a second of placement without an owner makes streams late."""
 
-LONGEST_S = 0.8
+MAX_PERIOD_S = 0.8
 """Longest period, in seconds: a lost host is named to callers for two and a half of them."""
 
-HOSTS_A_SECOND = 300.0
+HOSTS_PER_SECOND = 300.0
 """Hosts that a replica tells, and hears, in a second: a small part of its processor."""
 
 SUSPECT_PERIODS = 1.125
@@ -23,7 +23,7 @@
 OWNER_PERIODS = 2.5
 """Periods after which one is not asked any more: two may be lost."""
 
-HEARD_PERIODS = 2.5
+DIRECTORY_PERIODS = 2.5
 """Periods after which a host is not named to callers any more."""
 
 RESEND_PERIODS = 2.0
@@ -35,4 +35,4 @@
 
 def period_s(entry_hosts: int) -> float:
     """Return the period for a fleet, in seconds."""
-    return min(LONGEST_S, max(SHORTEST_S, entry_hosts / HOSTS_A_SECOND))
+    return min(MAX_PERIOD_S, max(MIN_PERIOD_S, entry_hosts / HOSTS_PER_SECOND))
--- a/src/medlarfork/coordination/upstream_desk.py
+++ b/src/medlarfork/coordination/upstream_manager.py
@@ -19,7 +19,7 @@
     upstream_types,
 )
 
-CUT_ALLOWANCE_S = 10.0
+PARTITION_GRACE_S = 10.0
 """How much longer than usual an upstream may be silent while another replica is silent too, in
 seconds: upstreams go on announcing themselves there, and cuts between replicas last some seconds.
 Without it an owner of placement drops all upstreams that announce themselves on the other side of a
@@ -30,7 +30,7 @@
 seconds: half of the shortest period of announcements, of which three and a half may be missed. Such
 messages grow with replicas times upstreams."""
 
-LEAVE_LIMIT_S = 0.8
+LEAVE_TIMEOUT_S = 0.8
 """How long a leave may wait for a majority, in seconds; upstreams give up after one second."""
 
 
@@ -42,7 +42,7 @@
     receipts: set[str]
 
 
-class UpstreamDesk:
+class UpstreamManager:
     """Keep the registry and pass on what it learns; pure."""
 
     def __init__(self, registry: upstream_registry.UpstreamRegistry) -> None:
@@ -98,7 +98,7 @@
             return (coordinator_types.OperationDone(operation_id, coordinator_types.Accepted()),)
         self._tokens += 1
         self._leave_by_token[self._tokens] = _OpenLeave(
-            operation_id, now + LEAVE_LIMIT_S, quorum - 1, set()
+            operation_id, now + LEAVE_TIMEOUT_S, quorum - 1, set()
         )
         gossip = coordination_messages.UpstreamGossip((), (upstream_id,), self._tokens)
         return _to_all(peers, gossip)
@@ -139,14 +139,14 @@
         return coordination_messages.UpstreamGossip(whole.present, whole.left, is_whole=True)
 
     def on_time(
-        self, peers: tuple[str, ...], now: float, *, misses_peer: bool = False
+        self, peers: tuple[str, ...], now: float, *, has_silent_peer: bool = False
     ) -> tuple[Any, ...]:
         """Pass on refreshing announcements, drop silent upstreams, and end late leaves.
 
         Args:
             peers: The other replicas.
             now: The time in seconds.
-            misses_peer: Whether one of them fell silent lately.
+            has_silent_peer: Whether one of them fell silent lately.
         """
         actions: list[Any] = []
         if self._refreshed and now >= self._refresh_due:
@@ -154,8 +154,8 @@
             heard = tuple(self._refreshed.values())
             self._refreshed = {}
             actions += _to_all(peers, coordination_messages.UpstreamGossip(heard, ()))
-        allowed_s = CUT_ALLOWANCE_S if misses_peer else 0.0
-        self._note(self._registry.take_silent(now, allowed_s=allowed_s))
+        allowed_s = PARTITION_GRACE_S if has_silent_peer else 0.0
+        self._note(self._registry.mark_silent(now, allowed_s=allowed_s))
         for token, leave in tuple(self._leave_by_token.items()):
             if leave.until <= now:
                 del self._leave_by_token[token]
--- a/src/medlarfork/coordination/upstream_registry.py
+++ b/src/medlarfork/coordination/upstream_registry.py
@@ -3,7 +3,7 @@
 An upstream that is started again, under its name or another one, is a new incarnation: what is
 believed of the one before is void, and an older start never takes the place of a newer one.
 
-An incarnation that left stays known as gone for ``REMEMBER_GONE_S``, so that an announcement that
+An incarnation that left stays known as gone for ``GONE_RETENTION_S``, so that an announcement that
 a network kept back for long can't bring it back or displace its successor at the same address.
 """
 
@@ -14,10 +14,10 @@
 
 from medlarfork.coordination import upstream_types
 
-REMEMBER_GONE_S = 300.0
+GONE_RETENTION_S = 300.0
 """How long an incarnation that left is remembered, in seconds; far beyond what a network delays."""
 
-MISSED_ANNOUNCEMENTS = 3.5
+SILENCE_PERIODS = 3.5
 """Periods without an announcement after which an upstream counts as silent: three may be lost."""
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, *, announce_period_s: float) -> None:
         """Start empty; ``announce_period_s`` is how often upstreams announce themselves."""
-        self._silent_after_s = MISSED_ANNOUNCEMENTS * announce_period_s
+        self._silent_after_s = SILENCE_PERIODS * announce_period_s
         self._known_by_id: dict[str, _Known] = {}
         self._ids_by_address: dict[str, set[str]] = collections.defaultdict(set)
         self._ids_by_name: dict[str, set[str]] = collections.defaultdict(set)
@@ -58,7 +58,7 @@
         upstream_id = announcement.upstream_id
         if upstream_id in self._gone_until_by_id:
             # One that goes on announcing itself is remembered for as long.
-            self._gone_until_by_id[upstream_id] = now + REMEMBER_GONE_S
+            self._gone_until_by_id[upstream_id] = now + GONE_RETENTION_S
             return upstream_types.ViewChange()
         if announcement.is_leaving:
             return self.withdraw(upstream_id, now)
@@ -85,7 +85,7 @@
             left += self._end(ended, now)
         return upstream_types.ViewChange(left=left)
 
-    def take_silent(self, now: float, *, allowed_s: float = 0.0) -> upstream_types.ViewChange:
+    def mark_silent(self, now: float, *, allowed_s: float = 0.0) -> upstream_types.ViewChange:
         """Drop upstreams that fell silent; unlike those that left, they may come back.
 
         Args:
@@ -110,7 +110,7 @@
             if until <= now:
                 del self._gone_until_by_id[upstream_id]
         for upstream_id, known in tuple(self._known_by_id.items()):
-            if known.is_silent and known.heard_at + REMEMBER_GONE_S <= now:
+            if known.is_silent and known.heard_at + GONE_RETENTION_S <= now:
                 self._forget(upstream_id)
 
     def _rivals(
@@ -134,7 +134,7 @@
     def _end(self, upstream_id: str, now: float) -> tuple[str, ...]:
         """Remember that an incarnation is gone; return it if that is new."""
         is_new = upstream_id not in self._gone_until_by_id
-        self._gone_until_by_id[upstream_id] = now + REMEMBER_GONE_S
+        self._gone_until_by_id[upstream_id] = now + GONE_RETENTION_S
         self._forget(upstream_id)
         return (upstream_id,) if is_new else ()
 
--- a/src/medlarfork/coordination/upstream_types.py
+++ b/src/medlarfork/coordination/upstream_types.py
@@ -57,20 +57,22 @@
     return f"{name}@{born_ms}" if born_ms else name
 
 
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 """Slots beyond which an announcement is a mistake: more than engines of any size run at once."""
 
-LONGEST_NAME = 200
+MAX_NAME_LENGTH = 200
 """Characters of names beyond which an announcement is a mistake."""
 
 
-def fault(announcement: Announcement) -> str:
+def invalid_reason(announcement: Announcement) -> str:
     """Return why an announcement names no upstream that could be used; empty if it does."""
-    if not (0 < len(announcement.own_name) <= LONGEST_NAME and announcement.own_name.isprintable()):
+    if not (
+        0 < len(announcement.own_name) <= MAX_NAME_LENGTH and announcement.own_name.isprintable()
+    ):
         return "its name is missing, too long, or has characters that can't be shown"
-    if not (0 < len(announcement.service) <= LONGEST_NAME):
+    if not (0 < len(announcement.service) <= MAX_NAME_LENGTH):
         return "its service is missing or too long"
-    if not 0 < announcement.slots <= MOST_SLOTS:
+    if not 0 < announcement.slots <= MAX_SLOTS:
         return "its slots are not a number of requests"
     if announcement.sequence < 0 or announcement.born_ms < 0:
         return "its sequence or its start is negative"
--- a/src/medlarfork/coordination/upstream_view.py
+++ b/src/medlarfork/coordination/upstream_view.py
@@ -10,7 +10,7 @@
 
 from medlarfork.coordination import upstream_types
 
-MOST_LEFT = 10_000
+MAX_LEFT = 10_000
 """Incarnations that left and are remembered, the latest ones; a day's changes at full size."""
 
 
@@ -48,11 +48,11 @@
             present.pop(upstream_id, None)
         for upstream_id in change.left:
             self._left[upstream_id] = None
-        while len(self._left) > MOST_LEFT:
+        while len(self._left) > MAX_LEFT:
             del self._left[next(iter(self._left))]
         return self._rebuild() if is_news else ()
 
-    def forget_replica(self, replica_id: str) -> tuple[str, ...]:
+    def remove_replica(self, replica_id: str) -> tuple[str, ...]:
         """Drop what a lost replica said, unless nothing else is known."""
         if len(self._present_by_replica) > 1:
             self._present_by_replica.pop(replica_id, None)
--- a/src/medlarfork/duties/duty_log.py
+++ b/src/medlarfork/duties/duty_state.py
@@ -11,7 +11,7 @@
 
 from medlarfork.orders import lease_table, lease_types
 
-KEPT_WINDOWS = 48
+RETAINED_WINDOWS = 48
 """Windows whose counts are kept: four minutes of 5 s windows, beyond which a platform that was away
 is not told any more."""
 
@@ -64,7 +64,7 @@
 """Every command class, for the codec of the log."""
 
 
-class DutyLog:
+class DutyState:
     """Apply commands in log order; deterministic.
 
     Attributes:
@@ -88,7 +88,7 @@
         """Apply a committed command and return what came of it; None if it changed nothing."""
         match command:
             case lease_types.TakeLease() | lease_types.RenewLease():
-                return LeaseApplied(command, self._leases.decide(command))
+                return LeaseApplied(command, self._leases.apply_command(command))
             case FixUsage(window, counts) if self.may_fix(window):
                 self.usage_by_window[window] = FixedWindow(counts)
                 self._forget_oldest()
@@ -103,7 +103,7 @@
         """Return whether a window's counts are still open: neither fixed nor long past."""
         if window in self.usage_by_window:
             return False
-        return window > max(self.usage_by_window, default=window) - KEPT_WINDOWS
+        return window > max(self.usage_by_window, default=window) - RETAINED_WINDOWS
 
     def snapshot(self) -> DutySnapshot:
         """Return the state for a snapshot."""
@@ -115,6 +115,6 @@
         self.usage_by_window = dict(snapshot.usage_by_window)
 
     def _forget_oldest(self) -> None:
-        oldest = max(self.usage_by_window) - KEPT_WINDOWS
+        oldest = max(self.usage_by_window) - RETAINED_WINDOWS
         for window in [window for window in self.usage_by_window if window <= oldest]:
             del self.usage_by_window[window]
--- a/src/medlarfork/duties/duty_types.py
+++ b/src/medlarfork/duties/duty_types.py
@@ -13,7 +13,7 @@
 ENGINES = "engines"
 """Names the duty of ordering engines."""
 
-LEAST_MARGIN = 1.0
+MIN_MARGIN = 1.0
 """Smallest margin of engines: with fewer than its load keeps busy, a service falls behind."""
 
 
@@ -58,9 +58,9 @@
                     f"{name} of the duties is not above 0.",
                     remedy=f"Set {name} as the platform does.",
                 )
-        if self.engine_margin < LEAST_MARGIN:
+        if self.engine_margin < MIN_MARGIN:
             raise errors.SettingsError(
-                f"engine_margin is under {LEAST_MARGIN:g}.",
+                f"engine_margin is under {MIN_MARGIN:g}.",
                 remedy="Hold at least as many engines as the load keeps busy.",
             )
 
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderEngines:
+class ScaleEngines:
     """Ask the platform for a number of engines of one kind in a data centre.
 
     Attributes:
@@ -104,7 +104,7 @@
     is_spot: bool
 
 
-PlatformCall = ReportUsage | OrderEngines
+PlatformCall = ReportUsage | ScaleEngines
 
 
 class CallEnd(enum.StrEnum):
--- a/src/medlarfork/duties/engine_duty.py
+++ b/src/medlarfork/duties/engine_autoscaler.py
@@ -15,25 +15,25 @@
 from medlarfork.duties import duty_types, engine_messages, engine_plan, offered_load
 from medlarfork.routes import routing
 
-UNAVAILABLE_S = 2.0
+UNAVAILABLE_RETRY_S = 2.0
 """How long a group of which none are to be had is not asked for again, in seconds."""
 
-REORDER_S = 1.5
+MISSING_RETRY_S = 1.5
 """Time after which an order is given again if engines are missing, in seconds beyond a start."""
 
-SETTLE_S = 4.5
+STARTUP_SETTLE_S = 4.5
 """Time after a replica's start until it counts engines, in seconds: by then each of those that run
 has announced itself."""
 
-TOLD_S = 3.0
+LOAD_REPORT_TIMEOUT_S = 3.0
 """Time after the duty was taken by which replicas have told their load, in seconds."""
 
-UNKNOWN_FACTOR = 2.0
+UNKNOWN_LOAD_FACTOR = 2.0
 """Engines held for each staying one that is found while nothing is known of the load, where cheap
 ones cost less than half: a burst may come before the first orders can follow it. Cheap ones that
 are found were ordered by the load that another holder knew."""
 
-THROTTLED_S = 0.5
+FAILED_RETRY_S = 0.5
 """Pause of a group whose order failed otherwise, in seconds."""
 
 
@@ -75,7 +75,7 @@
     is_unavailable: bool = False
 
 
-class EngineDuty:
+class EngineAutoscaler:
     """Follow the load of every service whose engines may be ordered."""
 
     def __init__(self, margin: float) -> None:
@@ -100,36 +100,38 @@
             if service.scaling is not None and service.scaling.zones and service.engine is not None
         }
 
-    def take_load(self, source: str, told: engine_messages.LoadTold, now: float) -> None:
+    def update_load(self, source: str, told: engine_messages.LoadTold, now: float) -> None:
         """Take what a replica was asked to place."""
         for load in told.loads:
             total = self._load_by_service.setdefault(load.service, offered_load.OfferedLoad())
             total.take(source, told.boot, load, now)
 
-    def take_over(self, started_at: float, now: float) -> None:
+    def on_duty_acquired(self, started_at: float, now: float) -> None:
         """Take the duty of a replica that was started then: of orders nothing is known."""
         self._order_by_group.clear()
         self._found_by_service.clear()
-        self._settled_at = max(now, started_at + SETTLE_S)
+        self._settled_at = max(now, started_at + STARTUP_SETTLE_S)
 
-    def next_orders(
+    def next_requests(
         self, present: tuple[upstream_types.Announcement, ...], now: float
-    ) -> tuple[duty_types.OrderEngines, ...]:
+    ) -> tuple[duty_types.ScaleEngines, ...]:
         """Return the orders to be given now, those of more engines first."""
         if now < self._settled_at:
             return ()
-        orders: list[tuple[int, duty_types.OrderEngines]] = []
+        orders: list[tuple[int, duty_types.ScaleEngines]] = []
         for service in self._scaled_by_name.values():
             running = _running(service.name, present)
             held = self._plan(service, running, now)
             for group, count in held.items():
                 count = self._with_room(service, group, count, running)
                 if self._is_due(service, group, count, running[group], now):
-                    given = duty_types.OrderEngines(service.name, group.zone, count, group.is_spot)
+                    given = duty_types.ScaleEngines(service.name, group.zone, count, group.is_spot)
                     orders.append((running[group] - count, given))
         return tuple(order for _, order in sorted(orders, key=lambda item: item[0]))
 
-    def on_end(self, given: duty_types.OrderEngines, end: duty_types.CallEnd, now: float) -> None:
+    def on_call_end(
+        self, given: duty_types.ScaleEngines, end: duty_types.CallEnd, now: float
+    ) -> None:
         """Take the end of an order."""
         key = (given.service, engine_plan.Group(given.zone, given.is_spot))
         order = self._order_by_group.get(key, _Order())
@@ -139,10 +141,10 @@
                 due = now
                 is_unavailable = is_unavailable and given.count == 0
             case duty_types.CallEnd.REFUSED:
-                due = now + UNAVAILABLE_S
+                due = now + UNAVAILABLE_RETRY_S
                 is_unavailable = True
             case _:
-                due = now + THROTTLED_S
+                due = now + FAILED_RETRY_S
         count = given.count if end is duty_types.CallEnd.DONE else None
         self._order_by_group[key] = _Order(count, now, due, is_unavailable=is_unavailable)
 
@@ -193,9 +195,9 @@
         wanted = engine_plan.wanted_engines(peak, self._margin)
         urgent = engine_plan.wanted_engines(load.engines(service.engine.slots, now), self._margin)
         found = self._found_by_service.setdefault(service.name, running)
-        if now < self._settled_at + offered_load.HOLD_S:
+        if now < self._settled_at + offered_load.PEAK_HOLD_S:
             wanted = max(wanted, _with_spare(service.scaling, found))
-        if now < self._settled_at + TOLD_S:
+        if now < self._settled_at + LOAD_REPORT_TIMEOUT_S:
             urgent = max(urgent, sum(found.values()))
         serving = sum(running.values())
         self._need_by_service[service.name] = Need(service.name, round(peak, 1), wanted, serving)
@@ -213,7 +215,8 @@
         assert service.scaling is not None
         order = self._order_by_group.get((service.name, group), _Order())
         is_missed = running < count and (
-            running < order.most_running or now >= order.at + service.scaling.boot_s + REORDER_S
+            running < order.most_running
+            or now >= order.at + service.scaling.boot_s + MISSING_RETRY_S
         )
         may_be_given = not order.is_under_way and now >= order.due
         is_due = may_be_given and (order.count != count or is_missed)
@@ -252,7 +255,7 @@
 
 def _with_spare(scaling: routing.Scaling, found: collections.Counter[engine_plan.Group]) -> int:
     """Return the engines that are held for those that were found while the load is not known."""
-    spare = UNKNOWN_FACTOR if 0 < scaling.spot_price < 1 / UNKNOWN_FACTOR else 1.0
+    spare = UNKNOWN_LOAD_FACTOR if 0 < scaling.spot_price < 1 / UNKNOWN_LOAD_FACTOR else 1.0
     engines = sum(count * (1.0 if group.is_spot else spare) for group, count in found.items())
     return math.ceil(engines)
 
@@ -267,4 +270,4 @@
     assert service.scaling is not None
     if group.is_spot or order is None or order.count is None:
         return 0
-    return order.count if now < order.at + service.scaling.boot_s + REORDER_S else 0
+    return order.count if now < order.at + service.scaling.boot_s + MISSING_RETRY_S else 0
--- a/src/medlarfork/duties/engine_messages.py
+++ b/src/medlarfork/duties/engine_messages.py
@@ -17,7 +17,7 @@
     """
 
     boot: int
-    loads: tuple[placement_messages.OfferedWork, ...]
+    loads: tuple[placement_messages.ServiceLoad, ...]
 
 
 ENGINE_MESSAGES: tuple[type, ...] = (LoadTold,)
--- a/src/medlarfork/duties/engine_plan.py
+++ b/src/medlarfork/duties/engine_plan.py
@@ -13,7 +13,7 @@
 
 from medlarfork.routes import routing
 
-ROOM_TO_ASK = 1
+SPOT_PROBE_ROOM = 1
 """Engines that staying ones leave room for in each data centre, where there are cheap ones: to ask
 whether these are to be had again, there must be room for one."""
 
@@ -111,7 +111,7 @@
         group = Group(zone, False)
         most = scaling.most - held[group] - held.get(Group(zone, True), 0)
         if running is None:
-            most -= ROOM_TO_ASK if scaling.has_spot else 0
+            most -= SPOT_PROBE_ROOM if scaling.has_spot else 0
         else:
             most = min(most, running.get(group, 0) - held[group])
         taken = max(0, min(wanted - added, most))
--- a/src/medlarfork/duties/fleet_clock.py
+++ b/src/medlarfork/duties/fleet_clock.py
@@ -20,11 +20,11 @@
         """Start with nobody's time."""
         self._sample_by_source: dict[str, tuple[float, float]] = {}
 
-    def note(self, source: str, wall_s: float, steady_s: float) -> None:
+    def add_sample(self, source: str, wall_s: float, steady_s: float) -> None:
         """Take a host's time of day, in Unix seconds, at a steady time of this one's."""
         self._sample_by_source[source] = (steady_s, wall_s - steady_s)
 
-    def true_s(self, steady_s: float, own_wall_s: float) -> float:
+    def fleet_time_s(self, steady_s: float, own_wall_s: float) -> float:
         """Return the agreed time of day in Unix seconds.
 
         Args:
--- a/src/medlarfork/duties/offered_load.py
+++ b/src/medlarfork/duties/offered_load.py
@@ -7,18 +7,18 @@
 
 from medlarfork.placement import placement_messages
 
-SPAN_S = 1.0
+AVERAGING_WINDOW_S = 1.0
 """Time over which reading is averaged, in seconds: as short as bursts that matter, long enough that
 single long prompts do not look like one."""
 
-HOLD_S = 20.0
+PEAK_HOLD_S = 20.0
 """How long a peak is held, in seconds: bursts return, and an engine takes seconds to start."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Told:
     at: float
-    work: placement_messages.OfferedWork
+    work: placement_messages.ServiceLoad
 
 
 class OfferedLoad:
@@ -31,7 +31,7 @@
         self._peaks: collections.deque[tuple[float, float]] = collections.deque()
 
     def take(
-        self, source: str, boot: int, work: placement_messages.OfferedWork, now: float
+        self, source: str, boot: int, work: placement_messages.ServiceLoad, now: float
     ) -> None:
         """Take a replica's sums; those of a new start count from the next message on."""
         last = self._last_by_source.get((source, boot))
@@ -41,13 +41,17 @@
 
     def engines(self, slots: int, now: float) -> float:
         """Return how many engines the load offered now would keep busy all the time."""
-        while self._offered and self._offered[0][0] <= now - SPAN_S:
+        while self._offered and self._offered[0][0] <= now - AVERAGING_WINDOW_S:
             self._offered.popleft()
         self._last_by_source = {
-            source: told for source, told in self._last_by_source.items() if told.at > now - HOLD_S
+            source: told
+            for source, told in self._last_by_source.items()
+            if told.at > now - PEAK_HOLD_S
         }
-        reading = sum(read_ms for _, read_ms in self._offered) / (SPAN_S * 1000.0)
-        fresh = (told for told in self._last_by_source.values() if told.at > now - SPAN_S)
+        reading = sum(read_ms for _, read_ms in self._offered) / (AVERAGING_WINDOW_S * 1000.0)
+        fresh = (
+            told for told in self._last_by_source.values() if told.at > now - AVERAGING_WINDOW_S
+        )
         return max(reading, sum(told.work.requests for told in fresh) / max(slots, 1))
 
     def peak(self, slots: int, now: float) -> float:
@@ -56,6 +60,6 @@
         while self._peaks and self._peaks[-1][1] <= engines:
             self._peaks.pop()
         self._peaks.append((now, engines))
-        while self._peaks[0][0] <= now - HOLD_S:
+        while self._peaks[0][0] <= now - PEAK_HOLD_S:
             self._peaks.popleft()
         return self._peaks[0][1]
--- a/src/medlarfork/duties/platform_caller.py
+++ b/src/medlarfork/duties/platform_caller.py
@@ -13,7 +13,7 @@
 
 _log = logging.getLogger(__name__)
 
-CALL_LIMIT_S = 3.0
+CALL_TIMEOUT_S = 3.0
 """Longest wait for an answer, in seconds; the call may be carried out later all the same."""
 
 MayAct = Callable[[int], bool]
@@ -30,20 +30,20 @@
         self,
         address: str,
         *,
-        speaks: platform_format.PlatformFormat,
+        api_format: platform_format.PlatformFormat,
         may_act: MayAct,
-        on_end: OnEnd,
+        on_call_end: OnEnd,
     ) -> None:
         """Prepare; nothing is opened before ``start``."""
         self._address = f"http://{address}"
-        self._speaks = speaks
+        self._speaks = api_format
         self._may_act = may_act
-        self._on_end = on_end
+        self._on_end = on_call_end
         self._client = http_client.HttpClient()
         self._tasks: set[curio.Task] = set()
 
     @property
-    def under_way(self) -> int:
+    def calls_in_progress(self) -> int:
         """Return how many calls have not ended."""
         return len(self._tasks)
 
@@ -79,7 +79,7 @@
                 outgoing.target,
                 outgoing.headers,
                 outgoing.body,
-                timeout_s=CALL_LIMIT_S,
+                timeout_s=CALL_TIMEOUT_S,
             )
             await response.read()
         except errors.RequestNotSentError as error:
--- a/src/medlarfork/duties/platform_format.py
+++ b/src/medlarfork/duties/platform_format.py
@@ -31,7 +31,7 @@
         ...
 
 
-class OwnFormat:
+class DefaultFormat:
     """Speak the product's own paths and names.
 
     ``PUT /v1/usage/WINDOW`` and ``PUT /v1/engines/SERVICE/ZONE``.
@@ -51,6 +51,6 @@
         match call:
             case duty_types.ReportUsage(window, counts):
                 return HttpCall("PUT", f"/v1/usage/{window}", headers, msgspec.json.encode(counts))
-            case duty_types.OrderEngines(service, zone):
+            case duty_types.ScaleEngines(service, zone):
                 body = msgspec.json.encode(call)
                 return HttpCall("PUT", f"/v1/engines/{service}/{zone}", headers, body)
--- a/src/medlarfork/duties/usage_counter.py
+++ b/src/medlarfork/duties/usage_counter.py
@@ -11,24 +11,24 @@
 
 from medlarfork.duties import usage_messages
 
-KEPT_WINDOWS = 24
+RETAINED_WINDOWS = 24
 """Windows that are kept to be told again: two minutes of 5 s windows, longer than a deployment is
 without a leader."""
 
-SHORTEST_PERIOD_S = 0.4
+MIN_PERIOD_S = 0.4
 """How often a host tells the leader in a small fleet, in seconds: what it counts meanwhile is lost
 if it loses power."""
 
-LONGEST_PERIOD_S = 2.4
+MAX_PERIOD_S = 2.4
 """The same in the largest fleets, in seconds: less than a window waits for hosts that are late."""
 
-HOSTS_A_SECOND = 200.0
+HOST_REPORTS_PER_S = 200.0
 """Hosts that a leader hears in a second: a small part of its processor."""
 
 
-def tell_period_s(entry_hosts: int) -> float:
+def report_period_s(entry_hosts: int) -> float:
     """Return how often a host of a fleet tells the leader, in seconds."""
-    return min(LONGEST_PERIOD_S, max(SHORTEST_PERIOD_S, entry_hosts / HOSTS_A_SECOND))
+    return min(MAX_PERIOD_S, max(MIN_PERIOD_S, entry_hosts / HOST_REPORTS_PER_S))
 
 
 class UsageCounter:
@@ -53,40 +53,40 @@
         self._sends = 0
         self._open_window = 0
 
-    def note_sent(self, account: str, true_s: float) -> int:
+    def record_sent(self, account: str, fleet_time_s: float) -> int:
         """Note a call that begins to run now, if its upstream takes it, at a true Unix time.
 
-        Its window stays open until that is known: ``note_taken`` gets what is returned here.
+        Its window stays open until that is known: ``record_outcome`` gets what is returned here.
         """
         self._sends += 1
-        self._sent[self._sends] = (account, true_s)
+        self._sent[self._sends] = (account, fleet_time_s)
         return self._sends
 
-    def note_taken(self, send: int, *, has_begun: bool) -> None:
+    def record_outcome(self, send: int, *, has_started: bool) -> None:
         """Count a call that was sent, or forget it if it did not run."""
-        account, true_s = self._sent.pop(send)
-        if has_begun:
-            self.note_begun(account, true_s)
+        account, fleet_time_s = self._sent.pop(send)
+        if has_started:
+            self.record_started(account, fleet_time_s)
 
-    def note_begun(self, account: str, true_s: float) -> None:
+    def record_started(self, account: str, fleet_time_s: float) -> None:
         """Count a request that an upstream began to run at a true time, in Unix seconds.
 
         A window that was told to be over stays so, also if the agreed time went back a little.
         """
-        window = max(self._window(true_s), self._open_window)
+        window = max(self._window(fleet_time_s), self._open_window)
         counts = self._counts_by_window.setdefault(window, collections.Counter())
         counts[account] += 1
         self._changed_by_window[window] = self._sequence + 1
 
-    def told(self, leader_id: str, true_s: float) -> usage_messages.UsageTold:
+    def pending_report(self, leader_id: str, fleet_time_s: float) -> usage_messages.UsageTold:
         """Return what the leader is to be told now; a new one is told everything."""
         if leader_id != self._leader_id:
             self._leader_id = leader_id
             self._tell_all()
-        self._forget_before(self._window(true_s) - KEPT_WINDOWS)
+        self._forget_before(self._window(fleet_time_s) - RETAINED_WINDOWS)
         self._sequence += 1
-        oldest_s = min((sent_s for _, sent_s in self._sent.values()), default=true_s)
-        self._open_window = max(self._open_window, self._window(min(oldest_s, true_s)))
+        oldest_s = min((sent_s for _, sent_s in self._sent.values()), default=fleet_time_s)
+        self._open_window = max(self._open_window, self._window(min(oldest_s, fleet_time_s)))
         windows = tuple(
             usage_messages.WindowCounts(window, dict(counts))
             for window, counts in self._counts_by_window.items()
@@ -110,8 +110,8 @@
         self._ledger = 0
         self._confirmed = 0
 
-    def _window(self, true_s: float) -> int:
-        return int(true_s // self._window_s)
+    def _window(self, fleet_time_s: float) -> int:
+        return int(fleet_time_s // self._window_s)
 
     def _forget_before(self, oldest: int) -> None:
         for window in [window for window in self._counts_by_window if window < oldest]:
--- a/src/medlarfork/duties/usage_duty.py
+++ b/src/medlarfork/duties/usage_duty.py
@@ -5,25 +5,25 @@
 import random
 from typing import Any
 
-from medlarfork.duties import duty_log, duty_types, usage_ledger
+from medlarfork.duties import duty_state, duty_types, usage_ledger
 
-FIX_AGAIN_S = 1.0
+FIX_RETRY_S = 1.0
 """Time after which the log is asked once more to fix a window, in seconds."""
 
-FIRST_BACKOFF_S = 0.5
+MIN_BACKOFF_S = 0.5
 """Pause after a first report that failed, in seconds; pauses double with each in a row."""
 
-LONGEST_BACKOFF_S = 4.0
+MAX_BACKOFF_S = 4.0
 """Longest such pause, in seconds: a platform that comes back is soon told."""
 
-BACKOFF_SPREAD = 0.3
+BACKOFF_JITTER = 0.3
 """Part of a pause that is drawn, so that callers do not come back together."""
 
 
 class UsageDuty:
     """Report each window once its counts are fixed, one at a time, the newest last."""
 
-    def __init__(self, log: duty_log.DutyLog, draw: random.Random) -> None:
+    def __init__(self, log: duty_state.DutyState, draw: random.Random) -> None:
         """Work on the log's state; ``draw`` spreads the pauses."""
         self._log = log
         self._draw = draw
@@ -31,9 +31,9 @@
         self._due = 0.0
         self._failures = 0
 
-    def to_fix(
+    def windows_to_fix(
         self, ledger: usage_ledger.UsageLedger, entry_ids: frozenset[str], now: float
-    ) -> tuple[duty_log.FixUsage, ...]:
+    ) -> tuple[duty_state.FixUsage, ...]:
         """Return the windows that are complete, for the log to fix."""
         fixes = []
         complete = ledger.complete(entry_ids, now)
@@ -45,8 +45,8 @@
                 ledger.drop(window)
                 continue
             if self._fix_due_by_window.get(window, now) <= now:
-                self._fix_due_by_window[window] = now + FIX_AGAIN_S
-                fixes.append(duty_log.FixUsage(window, ledger.counts(window)))
+                self._fix_due_by_window[window] = now + FIX_RETRY_S
+                fixes.append(duty_state.FixUsage(window, ledger.counts(window)))
         return tuple(fixes)
 
     def next_report(self, now: float) -> duty_types.ReportUsage | None:
@@ -58,13 +58,15 @@
                 return duty_types.ReportUsage(window, fixed.count_by_account)
         return None
 
-    def on_end(self, report: duty_types.ReportUsage, end: duty_types.CallEnd, now: float) -> Any:
+    def on_call_end(
+        self, report: duty_types.ReportUsage, end: duty_types.CallEnd, now: float
+    ) -> Any:
         """Take the end of a report; return what the log is to be told."""
         if end is duty_types.CallEnd.DONE:
             self._failures = 0
             self._due = now
-            return duty_log.UsageReported(report.window)
-        pause_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0**self._failures)
+            return duty_state.UsageReported(report.window)
+        pause_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0**self._failures)
         self._failures += 1
-        self._due = now + pause_s * self._draw.uniform(1.0 - BACKOFF_SPREAD, 1.0)
+        self._due = now + pause_s * self._draw.uniform(1.0 - BACKOFF_JITTER, 1.0)
         return None
--- a/src/medlarfork/duties/usage_ledger.py
+++ b/src/medlarfork/duties/usage_ledger.py
@@ -6,14 +6,14 @@
 
 from medlarfork.duties import usage_messages
 
-STRAGGLER_S = 3.0
+STRAGGLER_TIMEOUT_S = 3.0
 """How long a window that has ended waits for entry hosts that did not tell of it yet, in seconds:
 longer than most hosts stand still, and well before a report is late."""
 
-MOST_WINDOWS = 48
+MAX_WINDOWS = 48
 """Windows that are kept at once; the oldest give way."""
 
-MOST_ACCOUNTS = 10_000
+MAX_ACCOUNTS = 10_000
 """Client accounts that are counted in a window; what further ones are told of is left out."""
 
 
@@ -34,7 +34,7 @@
         for counted in told.windows:
             by_start = self._counts_by_window.setdefault(counted.window, {})
             counts = by_start.setdefault((entry_id, told.boot), {})
-            for account, count in list(counted.count_by_account.items())[:MOST_ACCOUNTS]:
+            for account, count in list(counted.count_by_account.items())[:MAX_ACCOUNTS]:
                 counts[account] = max(count, counts.get(account, 0))
         self._forget_oldest()
         # Else windows that an earlier start of a replica confirmed are missing in this message.
@@ -57,7 +57,8 @@
         return tuple(
             window
             for window in sorted(self._counts_by_window)
-            if window < all_past or self._ended_at_by_window.get(window, now) + STRAGGLER_S <= now
+            if window < all_past
+            or self._ended_at_by_window.get(window, now) + STRAGGLER_TIMEOUT_S <= now
         )
 
     def counts(self, window: int) -> dict[str, int]:
@@ -81,5 +82,5 @@
                 self._ended_at_by_window.setdefault(window, now)
 
     def _forget_oldest(self) -> None:
-        for window in sorted(self._counts_by_window)[:-MOST_WINDOWS]:
+        for window in sorted(self._counts_by_window)[:-MAX_WINDOWS]:
             self.drop(window)
--- a/src/medlarfork/entry/_flow_claim.py
+++ b/src/medlarfork/entry/_flow_claim.py
@@ -55,9 +55,9 @@
     now: float,
 ) -> entry_flow.Step:
     match deduplicate.decide(reply):
-        case deduplicate.GoOn():
+        case deduplicate.Proceed():
             return _flow_wait.queue(flow, around, holder, now)
-        case deduplicate.AskAgain():
+        case deduplicate.InProgress():
             ask_at = now + around.options.claim_poll_s
             state = entry_flow.Claiming(heard_at=now, ask_at=ask_at, contended=True)
             return entry_flow.Step(dataclasses.replace(flow, state=state))
@@ -80,7 +80,7 @@
         return _flow_end.fail(flow, answers.deadline_error(ran=False), holder, now)
     # While a duplicate is waited for, control is asked only at each poll.
     if now >= state.heard_at + _patience_s(state, around):
-        refuse = deduplicate.silent_control(contended=state.contended)
+        refuse = deduplicate.control_unavailable(contended=state.contended)
         return _refuse(flow, refuse, holder, now)
     if now >= state.ask_at:
         return ask(flow, around, holder, now)
--- a/src/medlarfork/entry/_flow_end.py
+++ b/src/medlarfork/entry/_flow_end.py
@@ -23,7 +23,7 @@
     outcome = request.Outcome.COMPLETED
     effects: list[Any] = [entry_types.FinishRelay(asked.request_id, complete=True)]
     if flow.claimed:
-        stored = deduplicate.stored(asked, ended)
+        stored = deduplicate.answer_to_store(asked, ended)
         finish = claim.ClaimFinish(deduplicate.key_of(asked), holder, stored)
         effects.append(entry_flow.Settle(finish))
     effects.append(record.ended(flow, now, outcome=outcome, status=ended.status or 200))
--- a/src/medlarfork/entry/_flow_run.py
+++ b/src/medlarfork/entry/_flow_run.py
@@ -7,7 +7,7 @@
 
 from medlarfork import claim, ticket
 from medlarfork.entry import _flow_end, _flow_wait, entry_flow, entry_types, flow_surroundings
-from medlarfork.filters import answers, dispatch
+from medlarfork.filters import answers, retry_rules
 
 _CAUSE_BY_RESULT = {
     entry_types.AttemptResult.COMPLETE: ticket.ReleaseCause.FINISHED,
@@ -150,16 +150,16 @@
     started = state.first_byte_at is not None
     if event.relayed and not flow.relayed:
         flow = dataclasses.replace(flow, relayed=True)
-    ended = dispatch.Ended(event, flow.relayed, flow.asked.repeatable, started)
-    match dispatch.decide(ended):
-        case dispatch.Complete():
+    ended = retry_rules.EndedAttempt(event, flow.relayed, flow.asked.repeatable, started)
+    match retry_rules.decide(ended):
+        case retry_rules.Complete():
             if event.tokens > flow.tokens:
                 flow = dataclasses.replace(flow, tokens=event.tokens)
             step = _flow_end.complete(flow, event, holder, now)
-        case dispatch.Fail(error):
+        case retry_rules.Fail(error):
             flow = dataclasses.replace(flow, uncertain=True, tokens=event.tokens)
             step = _flow_end.fail(flow, error, holder, now)
-        case dispatch.Again() as again:
+        case retry_rules.Requeue() as again:
             avoid = tuple(dict.fromkeys((*flow.avoid, state.upstream_id)))
             flow = dataclasses.replace(kept(flow, again), avoid=avoid)
             step = _retry(flow, again, around, holder, now)
@@ -168,7 +168,7 @@
 
 def _retry(
     flow: entry_flow.Flow,
-    again: dispatch.Again,
+    again: retry_rules.Requeue,
     around: flow_surroundings.Surroundings,
     holder: claim.Holder,
     now: float,
@@ -183,7 +183,7 @@
     return _flow_wait.queue(dataclasses.replace(flow, retries=retries), around, holder, now)
 
 
-def kept(flow: entry_flow.Flow, again: dispatch.Again) -> entry_flow.Flow:
+def kept(flow: entry_flow.Flow, again: retry_rules.Requeue) -> entry_flow.Flow:
     """Return the flow with what an ended attempt leaves behind."""
     tokens = again.resume_offset if again.ran else max(flow.tokens, again.resume_offset)
     flow = _flow_end.waste(flow, "retry", again.discarded)
--- a/src/medlarfork/entry/_flow_stop.py
+++ b/src/medlarfork/entry/_flow_stop.py
@@ -14,7 +14,7 @@
     entry_types,
     flow_surroundings,
 )
-from medlarfork.filters import answers, dispatch
+from medlarfork.filters import answers, retry_rules
 
 _CAUSE_BY_STOP = {
     entry_flow.StopCause.PREEMPTED: ticket.ReleaseCause.PREEMPTED,
@@ -76,9 +76,11 @@
     released = _flow_run.release(flow, running, event, _CAUSE_BY_STOP[state.cause], now)
     flow = dataclasses.replace(flow, relayed=flow.relayed or event.relayed)
     started = running.first_byte_at is not None
-    decision = dispatch.decide(dispatch.Ended(event, flow.relayed, flow.asked.repeatable, started))
+    decision = retry_rules.decide(
+        retry_rules.EndedAttempt(event, flow.relayed, flow.asked.repeatable, started)
+    )
     match decision:
-        case dispatch.Again() as again:
+        case retry_rules.Requeue() as again:
             flow = _flow_run.kept(flow, again)
         case _:
             flow = dataclasses.replace(flow, uncertain=True, tokens=event.tokens)
@@ -89,7 +91,7 @@
 def _after_stop(
     flow: entry_flow.Flow,
     cause: entry_flow.StopCause,
-    decision: dispatch.Decision,
+    decision: retry_rules.Decision,
     around: flow_surroundings.Surroundings,
     holder: claim.Holder,
     now: float,
@@ -102,7 +104,7 @@
             return _flow_end.fail(flow, error, holder, now)
         case entry_flow.StopCause.DRAINED:
             return _flow_end.fail(flow, answers.drained_error(), holder, now)
-        case entry_flow.StopCause.PREEMPTED if isinstance(decision, dispatch.Again):
+        case entry_flow.StopCause.PREEMPTED if isinstance(decision, retry_rules.Requeue):
             if now < flow.asked.deadline_at:
                 return _flow_wait.queue(flow, around, holder, now)
             return _flow_end.fail(flow, answers.deadline_error(ran=True), holder, now)
--- a/src/medlarfork/entry/conversation.py
+++ b/src/medlarfork/entry/conversation.py
@@ -124,7 +124,7 @@
         if self._relay is None:
             stream = outgoing.asks_for_stream(self.raw)
             self._relay = relay.Relay(stream=stream, assemble=dispatch.assemble)
-        self._relay.begin(
+        self._relay.start_attempt(
             dispatch.attempt_id,
             resume_offset=dispatch.resume_offset,
             status=status,
@@ -197,7 +197,7 @@
     def whole(self) -> bytes:
         """Return the answer that is to go out in one piece."""
         if self._relay is not None and self._relay.assembles:
-            return self._relay.whole()
+            return self._relay.assembled_body()
         return b"".join(self._held)
 
     @property
--- a/src/medlarfork/entry/entry.py
+++ b/src/medlarfork/entry/entry.py
@@ -143,7 +143,7 @@
         """Pass a request along the filters that need no other process."""
         declared = self._session.configuration
         standing = self._queries.standing(now, refusing=drain.refuses(self._stage))
-        admit.check_standing(standing)
+        admit.check_host_status(standing)
         parsed = parse.parse(raw)
         account = identify.identify(declared, raw.headers)
         asked = classify.assign(declared, account, parsed, now=now)
--- a/src/medlarfork/entry/entry_queries.py
+++ b/src/medlarfork/entry/entry_queries.py
@@ -47,7 +47,7 @@
         self._directory = directory
         self._generator = generator
 
-    def standing(self, now: float, *, refusing: bool) -> admit.Standing:
+    def standing(self, now: float, *, refusing: bool) -> admit.HostStatus:
         """Return how this host stands."""
         proven = self._session.is_proven(now)
         serve = self._options.unproven is entry_settings.UnprovenPolicy.SERVE
@@ -55,7 +55,7 @@
         others: tuple[str, ...] = ()
         if refusing or not usable or self._requests.admission.load >= 1.0:
             others = self._others()
-        return admit.Standing(refusing, usable, proven, others)
+        return admit.HostStatus(refusing, usable, proven, others)
 
     def entries(
         self, raw: entry_types.RawRequest, now: float, *, named: bool
@@ -78,7 +78,7 @@
         """Answer ``GET /v1/models`` for the account whose key the request carries."""
         declared = self._session.configuration
         try:
-            admit.check_standing(admit.Standing(False, self._session.revision > 0, False, ()))
+            admit.check_host_status(admit.HostStatus(False, self._session.revision > 0, False, ()))
             identify.identify(declared, raw.headers)
         except errors.RequestRefusedError as error:
             return answers.refusal(
--- a/src/medlarfork/entry/entry_requests.py
+++ b/src/medlarfork/entry/entry_requests.py
@@ -18,7 +18,7 @@
     entry_options,
     flow_machine,
 )
-from medlarfork.filters import admit, deduplicate, dispatch
+from medlarfork.filters import admit, deduplicate, retry_rules
 from medlarfork.pool import ownership
 
 _RELEASES_LIMIT = 20_000
@@ -47,7 +47,9 @@
             request_limit=options.request_limit, bytes_limit=options.held_bytes_limit
         )
         self._session = session
-        self._budgets = dispatch.RetryBudgets(share=options.retry_share, burst=options.retry_burst)
+        self._budgets = retry_rules.RetryBudgets(
+            share=options.retry_share, burst=options.retry_burst
+        )
         self._machine = flow_machine.FlowMachine(self)
         self._flow_by_id: dict[str, entry_flow.Flow] = {}
         self._timers = _timer_heap.TimerHeap[str]()
--- a/src/medlarfork/entry/explain.py
+++ b/src/medlarfork/entry/explain.py
@@ -107,7 +107,7 @@
     views: _Views,
     now: float,
 ) -> PoolExplanation:
-    owner, *others = owned.hearers(pool)
+    owner, *others = owned.serving_hosts(pool)
     leases = directory.leases if owned.serves(pool) else ()
     return PoolExplanation(
         pool,
--- a/src/medlarfork/entry/pool_directory.py
+++ b/src/medlarfork/entry/pool_directory.py
@@ -100,8 +100,8 @@
             pool, conflicts = self._match(lease.announcement)
             if pool != lease.pool or conflicts != lease.conflicts or not owned.serves(pool):
                 actions += self._placed(lease.announcement, lease.heard_at, now)
-            known = before.hearers(lease.pool) if pool == lease.pool else ()
-            new = [item for item in owned.hearers(pool) if item not in known]
+            known = before.serving_hosts(lease.pool) if pool == lease.pool else ()
+            new = [item for item in owned.serving_hosts(pool) if item not in known]
             actions += self._pass_on(lease.announcement, new, now - lease.heard_at)
             if upstream_id in self._lease_by_id:
                 self._timers.set(upstream_id, lease.heard_at + declared.engine_lease_s)
@@ -112,8 +112,11 @@
         if not self._is_news(announcement):
             return ()
         pool, _ = self._match(announcement)
-        hearers = self._owned.hearers(pool)
-        return (*self._keep(announcement, now, now), *self._pass_on(announcement, hearers, 0.0))
+        serving_hosts = self._owned.serving_hosts(pool)
+        return (
+            *self._keep(announcement, now, now),
+            *self._pass_on(announcement, serving_hosts, 0.0),
+        )
 
     def seen(self, message: entry_types.UpstreamSeen, now: float) -> tuple[Any, ...]:
         """Take an announcement that another entry host passed on."""
@@ -193,9 +196,9 @@
         return [ToPool(lease.pool, pool_events.UpstreamGone(upstream_id))]
 
     def _pass_on(
-        self, announcement: upstream.Announcement, hearers: Iterable[str], age_s: float
+        self, announcement: upstream.Announcement, serving_hosts: Iterable[str], age_s: float
     ) -> Iterator[node.Send]:
-        for entry_id in hearers:
+        for entry_id in serving_hosts:
             if entry_id != self._entry_id:
                 yield node.Send(entry_id, entry_types.UpstreamSeen(announcement, age_s))
 
@@ -209,7 +212,7 @@
         ]
         if not selecting:
             return "", ()
-        pool = ownership.shard_pool(selecting[0], announcement.upstream_id)
+        pool = ownership.pool_of_upstream(selecting[0], announcement.upstream_id)
         return pool, tuple(service.name for service in selecting[1:])
 
 
--- a/src/medlarfork/filters/admit.py
+++ b/src/medlarfork/filters/admit.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class HostStatus:
     """Say how this entry host stands at the moment.
 
     Attributes:
@@ -42,13 +42,13 @@
         share = max(self.requests / self._request_limit, self.held_bytes / self._bytes_limit)
         return min(share, 1.0)
 
-    def admit(self, body_bytes: int, standing: Standing, *, repeatable: bool) -> None:
+    def admit(self, body_bytes: int, standing: HostStatus, *, repeatable: bool) -> None:
         """Count one more request; ``leave`` must follow once.
 
         Raises:
             errors.RequestRefusedError: It can't be taken now; nothing was counted.
         """
-        check_standing(standing)
+        check_host_status(standing)
         if not repeatable and not standing.proven:
             raise deduplicate.no_quorum_error()
         full = self.requests >= self._request_limit
@@ -65,7 +65,7 @@
         self.held_bytes -= body_bytes
 
 
-def check_standing(standing: Standing) -> None:
+def check_host_status(standing: HostStatus) -> None:
     """Check whether this host takes requests at all.
 
     Raises:
@@ -81,7 +81,7 @@
         )
 
 
-def _elsewhere(code: errors.Code, problem: str, standing: Standing) -> errors.RequestRefusedError:
+def _elsewhere(code: errors.Code, problem: str, standing: HostStatus) -> errors.RequestRefusedError:
     headers = answers.retry_after(1.0)
     if standing.other_addresses:
         headers[header_names.ENTRIES] = ", ".join(standing.other_addresses)
--- a/src/medlarfork/filters/deduplicate.py
+++ b/src/medlarfork/filters/deduplicate.py
@@ -26,12 +26,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GoOn:
+class Proceed:
     """Say that the claim is granted: the request may be dispatched once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskAgain:
+class InProgress:
     """Say that another request with the same key is in progress."""
 
 
@@ -56,7 +56,7 @@
     abandon: bool
 
 
-Decision = GoOn | AskAgain | Replay | Refuse
+Decision = Proceed | InProgress | Replay | Refuse
 
 
 def check_key(declared: configuration.Configuration, asked: request.Request) -> None:
@@ -85,9 +85,9 @@
     """Return what a claim's verdict means."""
     match reply.verdict:
         case claim.Verdict.GRANTED:
-            return GoOn()
+            return Proceed()
         case claim.Verdict.RUNNING:
-            return AskAgain()
+            return InProgress()
         case claim.Verdict.DONE if reply.answer is not None and reply.answer.kept:
             return Replay(reply.answer)
         case claim.Verdict.DONE:
@@ -96,7 +96,7 @@
             return _refuse(verdict)
 
 
-def silent_control(*, contended: bool) -> Refuse:
+def control_unavailable(*, contended: bool) -> Refuse:
     """Return the refusal for a claim that control does not answer.
 
     Args:
@@ -136,7 +136,9 @@
     return {header_names.KEY: asked.key} if asked.key else {}
 
 
-def stored(asked: request.Request, ended: entry_types.AttemptEnded) -> claim.StoredAnswer | None:
+def answer_to_store(
+    asked: request.Request, ended: entry_types.AttemptEnded
+) -> claim.StoredAnswer | None:
     """Return what to keep of a complete answer; None for a repeatable request."""
     if asked.repeatable:
         return None
--- a/src/medlarfork/filters/dispatch.py
+++ b/src/medlarfork/filters/retry_rules.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class EndedAttempt:
     """Gather what decides about an ended attempt.
 
     Attributes:
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Again:
+class Requeue:
     """Say that the request may queue again.
 
     Attributes:
@@ -84,10 +84,10 @@
     error: errors.RequestRefusedError
 
 
-Decision = Complete | Again | Fail
+Decision = Complete | Requeue | Fail
 
 
-def decide(ended: Ended) -> Decision:
+def decide(ended: EndedAttempt) -> Decision:
     """Return what an ended attempt allows, budgets and deadline aside."""
     event = ended.event
     match event.result:
@@ -97,12 +97,12 @@
         case (
             entry_types.AttemptResult.REFUSED | entry_types.AttemptResult.NOT_SENT
         ) if not ended.started:
-            return Again(event.tokens, 0, False, answers.upstream_refused_error())
+            return Requeue(event.tokens, 0, False, answers.upstream_refused_error())
     error = answers.upstream_error(event.error)
     if not ended.repeatable:
         return Fail(error)
     if event.resumable:
-        return Again(event.tokens, 0, True, error)
+        return Requeue(event.tokens, 0, True, error)
     if ended.relayed:
         return Fail(error)
-    return Again(0, event.tokens, True, error)
+    return Requeue(0, event.tokens, True, error)
--- a/src/medlarfork/gateway/attempt_sender.py
+++ b/src/medlarfork/gateway/attempt_sender.py
@@ -6,7 +6,7 @@
 import time
 
 from medlarfork.coordination import upstream_types
-from medlarfork.gateway import request_facts, request_types, upstream_call
+from medlarfork.gateway import request_metadata, request_types, upstream_call
 from medlarfork.http import http_client
 from medlarfork.placement import placement_messages
 
@@ -14,7 +14,9 @@
 class AttemptSender:
     """Hold what all attempts of a request share."""
 
-    def __init__(self, admitted: request_types.Admitted, tools: request_types.Tools) -> None:
+    def __init__(
+        self, admitted: request_types.AdmittedRequest, tools: request_types.SharedContext
+    ) -> None:
         """Prepare; nothing is sent yet."""
         self._admitted = admitted
         self._tools = tools
@@ -44,7 +46,7 @@
         call = self._call(upstream, fetch_from, last_event_id, left_ms)
         if self._is_counted or self._admitted.route.has_prompt:
             return await self._send(call, upstream.upstream_id)
-        send = self._tools.usage.note_sent(self._admitted.account)
+        send = self._tools.usage.record_sent(self._admitted.account)
         # Given up in the middle, it counts as taken.
         self._is_counted = True
         try:
@@ -54,14 +56,14 @@
                 or sent.end is placement_messages.RunEnd.BROKEN
             )
         finally:
-            self._tools.usage.note_taken(send, has_begun=self._is_counted)
+            self._tools.usage.record_outcome(send, has_started=self._is_counted)
         return sent
 
-    def count_begun(self) -> None:
+    def count_started(self) -> None:
         """Count the request once for its client account, however often it runs."""
         if not self._is_counted:
             self._is_counted = True
-            self._tools.usage.note_begun(self._admitted.account)
+            self._tools.usage.record_started(self._admitted.account)
 
     async def _send(
         self, call: upstream_call.Call, upstream_id: str
@@ -73,7 +75,7 @@
         )
 
     def _note_head(self, upstream_id: str, sent_at: float, response: http_client.Response) -> None:
-        self._tools.backpressure.note_answer(
+        self._tools.backpressure.record_response(
             upstream_id,
             response.status,
             response.headers,
@@ -90,7 +92,7 @@
     ) -> upstream_call.Call:
         admitted = self._admitted
         head = admitted.exchange.head
-        headers = request_facts.for_upstream(
+        headers = request_metadata.upstream_headers(
             head.headers,
             self._tools.names,
             upstream_id=upstream.own_name,
--- a/src/medlarfork/gateway/backpressure_watch.py
+++ b/src/medlarfork/gateway/backpressure_tracker.py
@@ -12,18 +12,18 @@
 
 from medlarfork import logs
 from medlarfork.backpressure import send_gate, signal_ledger, signal_messages, upstream_signals
-from medlarfork.gateway import entry_session, replica_news, request_names
+from medlarfork.gateway import entry_session, replica_reporter, request_header_names
 
 _log = logging.getLogger(__name__)
 
-TURNED_AWAY = (429, 503)
+REJECTION_STATUSES = (429, 503)
 """Statuses with which an upstream turns a request away; their ``Retry-After`` asks for a pause."""
 
-MOST_UPSTREAMS = 10_000
+MAX_LOGGED_UPSTREAMS = 10_000
 """Upstreams whose latest signals are remembered, for the log."""
 
 
-class BackpressureWatch:
+class BackpressureTracker:
     """Keep what each upstream last said to this entry host, and what others heard.
 
     Attributes:
@@ -33,7 +33,7 @@
     def __init__(
         self,
         entry_id: str,
-        names: request_names.RequestNames,
+        names: request_header_names.RequestHeaderNames,
         session: entry_session.EntrySession,
         send: Callable[[str, signal_messages.SignalReport], bool],
     ) -> None:
@@ -52,8 +52,8 @@
         self._ledger = signal_ledger.SignalLedger()
         self.gate = send_gate.SendGate(self._ledger)
         report = functools.partial(self._ledger.report, entry_id=entry_id)
-        self._news = replica_news.ReplicaNews(
-            session, send, report, retell_s=signal_messages.RETELL_S
+        self._news = replica_reporter.ReplicaReporter(
+            session, send, report, retell_s=signal_messages.RESEND_WINDOW_S
         )
 
     @property
@@ -61,7 +61,7 @@
         """Return how many upstreams are known to name a rate limit."""
         return self._ledger.limited
 
-    def note_answer(
+    def record_response(
         self,
         upstream_id: str,
         status: int,
@@ -79,7 +79,7 @@
             sent_at: When its request was sent, in monotonic seconds.
             attempt_id: The caller's id of the attempt.
         """
-        is_turned_away = status in TURNED_AWAY
+        is_turned_away = status in REJECTION_STATUSES
         told = upstream_signals.parse(
             headers.get(self._names.rate_limit, ""),
             headers.get(self._names.leaving, ""),
@@ -90,12 +90,12 @@
         # A rejection may come from a part of the upstream that knows nothing of its limit.
         is_rejected = is_turned_away or self._names.not_executed in headers
         if told.rate_limit is not None or not is_rejected:
-            is_news = self._ledger.note_answer(
+            is_news = self._ledger.record_response(
                 upstream_id, told.rate_limit, sent_at=sent_at, now=now
             )
-        is_news |= self._ledger.note_pause(upstream_id, self._entry_id, now + told.pause_s, now)
+        is_news |= self._ledger.record_backoff(upstream_id, self._entry_id, now + told.pause_s, now)
         if told.is_leaving:
-            is_news |= self._ledger.note_leaving(upstream_id, now)
+            is_news |= self._ledger.record_leaving(upstream_id, now)
         if is_news:
             self._news.tell((upstream_id,), now)
         self._log_change(upstream_id, status, told, attempt_id)
@@ -107,9 +107,9 @@
         """
         if self._ledger.is_leaving(upstream_id):
             return False
-        return self._ledger.paused_until(upstream_id, self._entry_id) <= _now()
+        return self._ledger.backoff_until(upstream_id, self._entry_id) <= _now()
 
-    def opens_in_ms(self, service: str) -> float:
+    def remaining_backoff_ms(self, service: str) -> float:
         """Return how long all upstreams of a service want no request from here, in milliseconds."""
         now = _now()
         waits_s = (
@@ -133,20 +133,20 @@
         if merged.outdated:
             self._news.tell(merged.outdated, now)
 
-    def note_replica(self, replica_id: str, up_s: float) -> None:
+    def sync_if_restarted(self, replica_id: str, up_s: float) -> None:
         """Tell a replica that has started, or that was not heard before, all that is known."""
-        self._news.note_replica(replica_id, up_s, self._ledger.known(), _now())
+        self._news.sync_if_restarted(replica_id, up_s, self._ledger.known(), _now())
 
-    def tell_replica(self, replica_id: str) -> None:
+    def send_known_signals(self, replica_id: str) -> None:
         """Tell a replica that becomes an owner of placement all that is known, if anything is."""
-        self._news.tell_one(replica_id, self._ledger.known(), _now())
+        self._news.send_snapshot(replica_id, self._ledger.known(), _now())
 
     def on_time(self) -> None:
         """Tell again what is new, and forget what is old; called with each status."""
         now = _now()
-        self._news.retell(now)
+        self._news.resend(now)
         self._ledger.tidy(now)
-        self.gate.forget_lifted()
+        self.gate.evict_unlimited()
 
     def _log_change(
         self,
@@ -159,7 +159,7 @@
         if told == before and not told.pause_s:
             return
         self._signals_by_upstream[upstream_id] = told
-        if len(self._signals_by_upstream) > MOST_UPSTREAMS:
+        if len(self._signals_by_upstream) > MAX_LOGGED_UPSTREAMS:
             del self._signals_by_upstream[next(iter(self._signals_by_upstream))]
         logs.event(
             _log,
--- a/src/medlarfork/gateway/crash_watch.py
+++ b/src/medlarfork/gateway/crash_tracker.py
@@ -18,24 +18,24 @@
 
 from medlarfork import logs
 from medlarfork.coordination import upstream_types
-from medlarfork.gateway import entry_session, replica_news, request_types
+from medlarfork.gateway import entry_session, replica_reporter, request_types
 from medlarfork.http import http_client
 from medlarfork.quarantine import crash_ledger, crash_messages
 
 _log = logging.getLogger(__name__)
 
-REACH_S = 0.3
+PROBE_TIMEOUT_S = 0.3
 """How long an upstream whose run broke may take to accept a connection, in seconds: one that has
 ended refuses within a round trip, and what is silent longer is cut off or without power."""
 
-PENDING_S = 15.0
+REPLACEMENT_WINDOW_S = 15.0
 """How long an upstream that still listened is watched for a later start in its place, in seconds:
 it may have been that start that listened. Upstreams are back within some seconds."""
 
-MOST_PENDING_KEYS = 200
+MAX_PENDING_KEYS = 200
 """Requests remembered of one such upstream: more than run there at once."""
 
-MOST_SURVIVALS = 20_000
+MAX_COMPLETIONS = 20_000
 """Requests remembered that were answered whole, about 3 MB: ten minutes at 30 a second."""
 
 
@@ -55,7 +55,7 @@
     at_by_key: dict[str, float]
 
 
-class CrashWatch:
+class CrashTracker:
     """Keep this entry host's ledger of requests that ended upstreams."""
 
     def __init__(
@@ -68,8 +68,8 @@
         self._client = client
         self._session = session
         self._ledger = crash_ledger.CrashLedger()
-        self._news = replica_news.ReplicaNews(
-            session, send, self._ledger.report, retell_s=crash_messages.RETELL_S
+        self._news = replica_reporter.ReplicaReporter(
+            session, send, self._ledger.report, retell_s=crash_messages.RESEND_WINDOW_S
         )
         self._look_by_upstream: dict[str, _Look] = {}
         self._pending_by_upstream: dict[str, _Pending] = {}
@@ -84,8 +84,8 @@
         """Return whether a request may run."""
         return self._ledger.standing(key, _now())
 
-    async def run_broken(
-        self, admitted: request_types.Admitted, upstream: upstream_types.Announcement
+    async def handle_broken_run(
+        self, admitted: request_types.AdmittedRequest, upstream: upstream_types.Announcement
     ) -> None:
         """Note a run without a whole answer; its upstream is looked at once for all that broke."""
         logs.event(
@@ -103,11 +103,11 @@
         self._look_by_upstream[upstream.upstream_id] = _Look([admitted.key])
         await curio.spawn(self._look, upstream, daemon=True)
 
-    def run_given_up(self, key: str, upstream: upstream_types.Announcement) -> None:
+    def record_abandoned_run(self, key: str, upstream: upstream_types.Announcement) -> None:
         """Note a run that nobody waits for any more: its upstream may have ended without a word."""
         self._watch(upstream, {key: _now()})
 
-    async def wait_looked(self, upstream_id: str) -> None:
+    async def wait_probed(self, upstream_id: str) -> None:
         """Wait until it is known whether an upstream whose run broke has ended."""
         look = self._look_by_upstream.get(upstream_id)
         if look is not None:
@@ -127,17 +127,17 @@
         """
         if own_breaks <= 1:
             return self.standing(key).verdict is crash_ledger.Verdict.HELD
-        await self.wait_looked(upstream_id)
+        await self.wait_probed(upstream_id)
         return self.standing(key).verdict is not crash_ledger.Verdict.FREE
 
-    def run_survived(self, key: str) -> None:
+    def record_completed_run(self, key: str) -> None:
         """Note that an upstream answered a request whole."""
         now = _now()
         self._survived_at_by_key[key] = now
         self._survived_at_by_key.move_to_end(key)
-        if len(self._survived_at_by_key) > MOST_SURVIVALS:
+        if len(self._survived_at_by_key) > MAX_COMPLETIONS:
             self._survived_at_by_key.popitem(last=False)
-        if self._ledger.note_survival(key, now, now):
+        if self._ledger.record_completion(key, now, now):
             self._news.tell((key,), now)
 
     def take(self, report: crash_messages.CrashReport) -> None:
@@ -149,15 +149,17 @@
             key
             for key in changed
             if key in self._survived_at_by_key
-            and self._ledger.note_survival(key, self._survived_at_by_key[key], now)
+            and self._ledger.record_completion(key, self._survived_at_by_key[key], now)
         )
         self._news.tell(cleared, now)
 
-    def note_view(self) -> None:
+    def check_replacements(self) -> None:
         """Look whether other starts took the place of upstreams that seemed to live on."""
         now = _now()
         for upstream_id, pending in tuple(self._pending_by_upstream.items()):
-            recent = {key: at for key, at in pending.at_by_key.items() if now <= at + PENDING_S}
+            recent = {
+                key: at for key, at in pending.at_by_key.items() if now <= at + REPLACEMENT_WINDOW_S
+            }
             if self._is_replaced(pending.upstream):
                 self._note_ends(upstream_id, recent)
                 recent = {}
@@ -167,22 +169,22 @@
             else:
                 del self._pending_by_upstream[upstream_id]
 
-    def note_replica(self, replica_id: str, up_s: float) -> None:
+    def sync_if_restarted(self, replica_id: str, up_s: float) -> None:
         """Tell a replica that has started, or that was not heard before, all that is known."""
-        self._news.note_replica(replica_id, up_s, self._ledger.known(), _now())
+        self._news.sync_if_restarted(replica_id, up_s, self._ledger.known(), _now())
 
     def on_time(self) -> None:
         """Tell again what is new, and forget what is old; called with each status."""
         now = _now()
-        self._news.retell(now)
+        self._news.resend(now)
         self._ledger.tidy(now)
-        self.note_view()
+        self.check_replacements()
 
     async def _look(self, upstream: upstream_types.Announcement) -> None:
         broke_at = _now()
         look = self._look_by_upstream[upstream.upstream_id]
         try:
-            reach = await self._client.reach(f"http://{upstream.address}", within_s=REACH_S)
+            reach = await self._client.reach(f"http://{upstream.address}", within_s=PROBE_TIMEOUT_S)
             self._judge(upstream, look, reach, broke_at)
         finally:
             del self._look_by_upstream[upstream.upstream_id]
@@ -214,7 +216,7 @@
         """Count an end of an upstream if another start takes its place soon."""
         before = self._pending_by_upstream.get(upstream.upstream_id)
         known = {} if before is None else before.at_by_key
-        latest = list((known | at_by_key).items())[-MOST_PENDING_KEYS:]
+        latest = list((known | at_by_key).items())[-MAX_PENDING_KEYS:]
         self._pending_by_upstream[upstream.upstream_id] = _Pending(upstream, dict(latest))
 
     def _is_replaced(self, upstream: upstream_types.Announcement) -> bool:
@@ -229,7 +231,8 @@
         news = tuple(
             key
             for key, at in at_by_key.items()
-            if not self._is_shielded(key, at) and self._ledger.note_end(key, upstream_id, at, now)
+            if not self._is_shielded(key, at)
+            and self._ledger.record_crash(key, upstream_id, at, now)
         )
         self._note("seen", news)
         self._news.tell(news, now)
@@ -240,13 +243,13 @@
         The ledger knows of answers only where it has a case already.
         """
         survived_at = self._survived_at_by_key.get(key, -math.inf)
-        return at <= survived_at + crash_ledger.SHIELD_S
+        return at <= survived_at + crash_ledger.EXONERATION_S
 
     def _note(self, how: str, keys: tuple[str, ...]) -> None:
         for key in keys:
             standing = self.standing(key)
             ends = self._ledger.ends(key)
-            if len(ends) >= crash_ledger.SUSPECT_ENDS:
+            if len(ends) >= crash_ledger.SUSPECT_CRASHES:
                 logs.event(
                     _log,
                     "crash_case",
--- a/src/medlarfork/gateway/entry_session.py
+++ b/src/medlarfork/gateway/entry_session.py
@@ -13,13 +13,13 @@
 from medlarfork import rendezvous
 from medlarfork.coordination import (
     coordination_messages,
-    status_pace,
+    status_period,
     upstream_types,
     upstream_view,
 )
 from medlarfork.placement import placement_messages, shard_choice
 
-UP_SHARE = 0.5
+MIN_OWNER_UPTIME_SHARE = 0.5
 """Share of the longest time that a replica has run which another must have run to own placement:
 after a restart of all they are equal, and one that was restarted alone does not take over back."""
 
@@ -28,13 +28,13 @@
 lost, and would else be sent again only a period later, first to the replicas that the settings name
 and then once more to the others, among them the leader."""
 
-JOIN_S = 3.0
+MAX_JOIN_S = 3.0
 """How long it joins at most, in seconds after its start; replicas that are down are not heard."""
 
-ALL_DUE_SHARE = 0.9
+STATUS_DUE_SHARE = 0.9
 """Share of a period after which all replicas are told again: timers fire a little early or late."""
 
-REPLICA_SILENT_S = 4.0
+REPLICA_TIMEOUT_S = 4.0
 """Silence after which a replica's view of the upstreams does not count any more, in seconds."""
 
 
@@ -44,7 +44,7 @@
     is_suspect: bool = False
     up_s: float = 0.0
     entry_hosts: int = 1
-    period_s: float = status_pace.SHORTEST_S
+    period_s: float = status_period.MIN_PERIOD_S
     view_boot: int = 0
     view_sequence: int = 0
 
@@ -71,23 +71,23 @@
             up_s: How long this host has run, in seconds.
         """
         knows_all = self.routing_version > 0 and self._heard_by_id.keys() >= self._replicas.keys()
-        return JOIN_PERIOD_S if not knows_all and up_s <= JOIN_S else self._period_s
+        return JOIN_PERIOD_S if not knows_all and up_s <= MAX_JOIN_S else self._period_s
 
-    def to_be_told(self, now: float) -> tuple[str, ...]:
+    def status_recipients(self, now: float) -> tuple[str, ...]:
         """Return the replicas to be told how this host is: all once in a period.
 
         While it joins, only those that were not heard yet are told more often: one replica that
         stands still must not cost a message to each of the others every time.
         """
         if now >= self._all_due:
-            self._all_due = now + ALL_DUE_SHARE * self._period_s
+            self._all_due = now + STATUS_DUE_SHARE * self._period_s
             return self.replicas
         return tuple(name for name in self._replicas if name not in self._heard_by_id)
 
     @property
     def _period_s(self) -> float:
         periods = (heard.period_s for heard in self._heard_by_id.values())
-        return max(periods, default=status_pace.SHORTEST_S)
+        return max(periods, default=status_period.MIN_PERIOD_S)
 
     @property
     def entry_hosts(self) -> int:
@@ -129,7 +129,7 @@
         """Return all shards of a service that have upstreams."""
         return tuple(self._sizes(service))
 
-    def counted(self, shard: placement_messages.Shard) -> placement_messages.Shard:
+    def resolve_shard(self, shard: placement_messages.Shard) -> placement_messages.Shard:
         """Return a shard by the number there are now; for one that is gone, another."""
         sizes = self._sizes(shard.service)
         count = next((known.count for known in sizes), 1)
@@ -137,7 +137,7 @@
 
     def shard_of(self, upstream: upstream_types.Announcement) -> placement_messages.Shard:
         """Return the shard that an upstream belongs to."""
-        first = self.counted(placement_messages.Shard(upstream.service))
+        first = self.resolve_shard(placement_messages.Shard(upstream.service))
         index = rendezvous.jump(upstream.upstream_id, first.count)
         return dataclasses.replace(first, index=index)
 
@@ -160,14 +160,15 @@
         up_s_by_id = {
             replica_id: heard.up_s
             for replica_id, heard in self._heard_by_id.items()
-            if now - heard.at <= status_pace.OWNER_PERIODS * heard.period_s and not heard.is_suspect
+            if now - heard.at <= status_period.OWNER_PERIODS * heard.period_s
+            and not heard.is_suspect
         }
-        least_up_s = UP_SHARE * max(up_s_by_id.values(), default=0.0)
+        least_up_s = MIN_OWNER_UPTIME_SHARE * max(up_s_by_id.values(), default=0.0)
         settled = sorted(name for name, up_s in up_s_by_id.items() if up_s >= least_up_s)
         owners = shard_choice.owners(shard.service, shard.count, tuple(settled))
         return owners[shard.index % shard.count] if owners else ""
 
-    def suspect(self, replica_id: str) -> bool:
+    def mark_unreachable(self, replica_id: str) -> bool:
         """Pass a replica over to which there is no connection, until it speaks.
 
         Returns:
@@ -179,7 +180,7 @@
         heard.is_suspect = True
         return True
 
-    def is_passed_over(self, replica_id: str, now: float) -> bool:
+    def is_unresponsive(self, replica_id: str, now: float) -> bool:
         """Say whether a replica that did not answer says nothing else either.
 
         Requests that are placed without an owner overfill engines and make streams late, so it is
@@ -188,22 +189,22 @@
         heard = self._heard_by_id.get(replica_id)
         if heard is None:
             return False
-        is_silent = now - heard.at > status_pace.SUSPECT_PERIODS * heard.period_s
+        is_silent = now - heard.at > status_period.SUSPECT_PERIODS * heard.period_s
         return heard.is_suspect or is_silent
 
-    def hear(self, replica_id: str, now: float) -> None:
+    def record_contact(self, replica_id: str, now: float) -> None:
         """Note that a replica said something."""
         heard = self._heard_by_id.setdefault(replica_id, _Heard(now))
         heard.at = now
         heard.is_suspect = False
 
-    def use_seeds(self, seeds: tuple[str, ...]) -> None:
+    def add_seeds(self, seeds: tuple[str, ...]) -> None:
         """Look for further replicas."""
         self._replicas.update(dict.fromkeys(seeds))
 
     def take(self, replica_id: str, message: Any, now: float) -> None:
         """Take a replica's message other than a version of the routing."""
-        self.hear(replica_id, now)
+        self.record_contact(replica_id, now)
         heard = self._heard_by_id[replica_id]
         match message:
             case coordination_messages.ReplicaStatus():
@@ -214,9 +215,9 @@
             case coordination_messages.ViewPush(boot, sequence, change):
                 self._take_view(replica_id, heard, boot, sequence, change)
 
-    def take_routing(self, replica_id: str, version: int, now: float) -> bool:
+    def accept_routing(self, replica_id: str, version: int, now: float) -> bool:
         """Say whether an offered version is newer than the one in force."""
-        self.hear(replica_id, now)
+        self.record_contact(replica_id, now)
         if version <= self.routing_version:
             return False
         self.routing_version = version
@@ -231,18 +232,18 @@
             address, zone, is_ready, self.routing_version, heard.view_boot, heard.view_sequence
         )
 
-    def drop_silent(self, now: float) -> None:
+    def drop_silent_replicas(self, now: float) -> None:
         """Forget the views of replicas that fell silent, unless all did."""
         silent = [
             replica_id
             for replica_id, heard in self._heard_by_id.items()
-            if now - heard.at > REPLICA_SILENT_S
+            if now - heard.at > REPLICA_TIMEOUT_S
         ]
         if len(silent) == len(self._heard_by_id):
             return
         for replica_id in silent:
             del self._heard_by_id[replica_id]
-            self._view.forget_replica(replica_id)
+            self._view.remove_replica(replica_id)
             self._sizes_by_service.clear()
             if self._members and replica_id not in self._members:
                 self._replicas.pop(replica_id, None)
--- a/src/medlarfork/gateway/event_cutter.py
+++ b/src/medlarfork/gateway/event_framer.py
@@ -6,11 +6,11 @@
 
 _ID_LINE = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
 
-MOST_PENDING_BYTES = 1 << 20
+MAX_PENDING_BYTES = 1 << 20
 """Longest event that is kept back until it is whole; longer ones are passed on as they come."""
 
 
-class EventCutter:
+class EventFramer:
     """Hold back the bytes of an event that is not whole yet.
 
     Attributes:
@@ -34,7 +34,7 @@
         data = self._pending + data
         end = data.rfind(b"\n\n") + 2
         if end < 2:
-            if len(data) > MOST_PENDING_BYTES:
+            if len(data) > MAX_PENDING_BYTES:
                 self._pending = b""
                 return data
             self._pending = data
@@ -46,6 +46,6 @@
             self.last_id = ids[-1].decode("latin-1")
         return whole
 
-    def drop_pending(self) -> None:
+    def discard_pending(self) -> None:
         """Forget an event that was cut; its upstream will not send the rest."""
         self._pending = b""
--- a/src/medlarfork/gateway/stream_pauses.py
+++ b/src/medlarfork/gateway/gap_recorder.py
@@ -4,14 +4,14 @@
 
 from medlarfork.placement import placement_messages
 
-LEAST_EVENTS = 4
+MIN_EVENTS = 4
 """Events from which a stream's pauses are told: fewer have no usual one."""
 
-MOST_PAUSES = 256
+MAX_GAPS = 256
 """Pauses that are remembered of one stream, the first ones, which bounds memory."""
 
 
-class StreamPauses:
+class GapRecorder:
     """Collect the pauses of one attempt."""
 
     def __init__(self) -> None:
@@ -23,17 +23,17 @@
     def note_event(self, now: float) -> float:
         """Note that an event is passed on at a monotonic time; return the pause before it in ms."""
         pause_ms = (now - self._event_at) * 1000.0 if self._event_at else 0.0
-        if self._event_at and len(self._pauses_ms) < MOST_PAUSES:
+        if self._event_at and len(self._pauses_ms) < MAX_GAPS:
             self._pauses_ms.append(pause_ms)
         self._longest_ms = max(self._longest_ms, pause_ms)
         self._event_at = now
         return pause_ms
 
-    def whole(self) -> placement_messages.Pauses | None:
+    def whole(self) -> placement_messages.InterEventGaps | None:
         """Return the pauses; None if there were too few events."""
-        if len(self._pauses_ms) < LEAST_EVENTS - 1:
+        if len(self._pauses_ms) < MIN_EVENTS - 1:
             return None
-        return placement_messages.Pauses(_median(self._pauses_ms), self._longest_ms)
+        return placement_messages.InterEventGaps(_median(self._pauses_ms), self._longest_ms)
 
 
 def _median(values: list[float]) -> float:
--- a/src/medlarfork/gateway/gateway_command.py
+++ b/src/medlarfork/gateway/gateway_command.py
@@ -26,13 +26,13 @@
         import curio
 
         from medlarfork import logs
-        from medlarfork.gateway import gateway_program, request_names
+        from medlarfork.gateway import gateway_program, request_header_names
         from medlarfork.routes import routing_format
 
         logs.configure(given.log_level, given.entry_id, stream=sys.stdout)
         program = gateway_program.GatewayProgram(
             given,
-            names=request_names.RequestNames(),
+            names=request_header_names.RequestHeaderNames(),
             decode=routing_format.decode,
             read_seeds=lambda: _read().seeds,
             opened=opened,
--- a/src/medlarfork/gateway/gateway_program.py
+++ b/src/medlarfork/gateway/gateway_program.py
@@ -18,15 +18,15 @@
 from medlarfork.coordination import coordination_messages
 from medlarfork.duties import usage_messages
 from medlarfork.gateway import (
-    backpressure_watch,
-    crash_watch,
+    backpressure_tracker,
+    crash_tracker,
     entry_session,
     gateway_metrics,
     gateway_settings,
-    holding,
     owner_client,
     request_handler,
-    request_names,
+    request_header_names,
+    request_hold,
     request_types,
 )
 from medlarfork.http import http_client, http_server
@@ -37,7 +37,7 @@
 from medlarfork.routes import routing
 
 if TYPE_CHECKING:
-    from medlarfork.gateway import usage_teller
+    from medlarfork.gateway import usage_reporter
 
 _log = logging.getLogger(__name__)
 
@@ -68,7 +68,7 @@
         self,
         given: gateway_settings.GatewaySettings,
         *,
-        names: request_names.RequestNames,
+        names: request_header_names.RequestHeaderNames,
         decode: Decode,
         read_seeds: ReadSeeds,
         opened: socket.socket | None = None,
@@ -87,8 +87,8 @@
         self._read_seeds = read_seeds
         self._session = entry_session.EntrySession(given.seeds)
         self._link = _make_link(given)
-        self._holds = holding.Holding()
-        self._backpressure = backpressure_watch.BackpressureWatch(
+        self._holds = request_hold.HoldQueue()
+        self._backpressure = backpressure_tracker.BackpressureTracker(
             given.entry_id, names, self._session, self._link.send
         )
         self._owner = owner_client.OwnerClient(
@@ -97,10 +97,10 @@
             self._link.send,
             self._holds,
             self._backpressure.gate,
-            self._backpressure.tell_replica,
+            self._backpressure.send_known_signals,
         )
         self._client = http_client.HttpClient(limits=UPSTREAM_LIMITS)
-        self._crashes = crash_watch.CrashWatch(self._client, self._session, self._link.send)
+        self._crashes = crash_tracker.CrashTracker(self._client, self._session, self._link.send)
         self._usage = self._make_usage() if given.usage_window_s else None
         self._metrics = gateway_metrics.GatewayMetrics(self._gauges)
         self._handler = self._make_handler(names)
@@ -128,7 +128,7 @@
         await self._tasks.spawn(self._receive)
         await self._tasks.spawn(self._tell_replicas)
         if self._usage is not None:
-            await self._tasks.spawn(self._usage.tell_always, self._session)
+            await self._tasks.spawn(self._usage.report_periodically, self._session)
         logs.event(_log, "started", entry=self._given.entry_id, serve=self._given.serve)
 
     async def stop(self) -> None:
@@ -157,11 +157,13 @@
     def reload(self) -> None:
         """Take the seeds that the settings name now."""
         seeds = self._read_seeds()
-        self._session.use_seeds(seeds)
+        self._session.add_seeds(seeds)
         self._connect_replicas()
         logs.event(_log, "reloaded", seeds=",".join(seeds))
 
-    def _make_handler(self, names: request_names.RequestNames) -> request_handler.RequestHandler:
+    def _make_handler(
+        self, names: request_header_names.RequestHeaderNames
+    ) -> request_handler.RequestHandler:
         return request_handler.RequestHandler(
             zone=self._given.zone,
             names=names,
@@ -171,16 +173,16 @@
             holds=self._holds,
             crashes=self._crashes,
             backpressure=self._backpressure,
-            usage=self._usage or request_types.NoUsage(),
+            usage=self._usage or request_types.NullUsageRecorder(),
             rules=self._given.budget,
             metrics=self._metrics,
         )
 
-    def _make_usage(self) -> usage_teller.UsageTeller:
+    def _make_usage(self) -> usage_reporter.UsageReporter:
         # Loaded only where usage is told: it would make every other start longer.
-        from medlarfork.gateway import usage_teller
+        from medlarfork.gateway import usage_reporter
 
-        return usage_teller.UsageTeller(self._given.usage_window_s, self._link.send)
+        return usage_reporter.UsageReporter(self._given.usage_window_s, self._link.send)
 
     async def _receive(self) -> None:
         while True:
@@ -191,25 +193,25 @@
         now = time.monotonic()
         match message:
             case coordination_messages.RoutingPush(version, packed_body):
-                if self._session.take_routing(sender, version, now):
+                if self._session.accept_routing(sender, version, now):
                     self._use_routing(sender, packed_body)
-                    await self._holds.note_change()
+                    await self._holds.notify_change()
             case coordination_messages.ReplicaStatus():
                 self._session.take(sender, message, now)
-                self._crashes.note_replica(sender, message.up_s)
-                self._backpressure.note_replica(sender, message.up_s)
+                self._crashes.sync_if_restarted(sender, message.up_s)
+                self._backpressure.sync_if_restarted(sender, message.up_s)
                 if self._usage is not None:
-                    self._usage.note_time(sender, message.wall_s)
+                    self._usage.observe_clock(sender, message.wall_s)
                 self._connect_replicas()
-                self._owner.tell_owners(now)
-                await self._owner.wake_waiting()
+                self._owner.notify_owners(now)
+                await self._owner.wake_queued()
             case coordination_messages.ViewPush():
                 await self._take_view(sender, message, now)
             case crash_messages.CrashReport():
-                self._session.hear(sender, now)
+                self._session.record_contact(sender, now)
                 self._crashes.take(message)
             case signal_messages.SignalReport():
-                self._session.hear(sender, now)
+                self._session.record_contact(sender, now)
                 self._backpressure.take(message)
             case usage_messages.UsageReceipt() if self._usage is not None:
                 self._usage.confirm(sender, message)
@@ -227,9 +229,9 @@
         upstreams = self._session.upstream_by_id
         if upstreams is before:
             return
-        self._owner.move_running(now)
-        self._crashes.note_view()
-        await self._holds.note_change()
+        self._owner.report_moved_runs(now)
+        self._crashes.check_replacements()
+        await self._holds.notify_change()
         logs.event(
             _log,
             "view",
@@ -257,8 +259,8 @@
         started_at = time.monotonic()
         while True:
             now = time.monotonic()
-            self._session.drop_silent(now)
-            self._send_status(self._session.to_be_told(now))
+            self._session.drop_silent_replicas(now)
+            self._send_status(self._session.status_recipients(now))
             self._crashes.on_time()
             self._backpressure.on_time()
             self._connect_replicas()
--- a/src/medlarfork/gateway/owner_client.py
+++ b/src/medlarfork/gateway/owner_client.py
@@ -12,19 +12,19 @@
 
 from medlarfork import logs
 from medlarfork.backpressure import send_gate
-from medlarfork.gateway import entry_session, holding
+from medlarfork.gateway import entry_session, request_hold
 from medlarfork.placement import local_choice, placement_messages
 
 _log = logging.getLogger(__name__)
 
-ANSWER_LIMIT_S = 0.15
+OWNER_TIMEOUT_S = 0.15
 """How long the owner may take to say anything, in seconds: many round trips, and little of the
 time within which callers expect an answer."""
 
 QUEUE_CHECK_S = 0.25
 """How often a request that waits at the owner checks that the owner is there, in seconds."""
 
-LEAST_BEGINS_MS = 1.0
+MIN_START_MS = 1.0
 """Least bound that a second shard is given, in milliseconds; 0 stands for a first question."""
 
 Send = Callable[[str, Any], bool]
@@ -37,7 +37,7 @@
     owner_id: str = ""
     asked_count: int = 0
     is_queued: bool = False
-    has_begun: bool = False
+    has_started: bool = False
     answer: (
         placement_messages.Placed | placement_messages.PlaceRefused | placement_messages.Busy | None
     ) = None
@@ -64,7 +64,7 @@
         if not isinstance(refused, placement_messages.PlaceRefused):
             return False
         closed = self.closed_ms_by_shard
-        closed[self.request.owned_shard] = refused.retry_after_ms
+        closed[self.request.target_shard] = refused.retry_after_ms
         left = [shard for shard in shards if shard not in closed]
         if not left or self.request.trial_key:
             self.answer = dataclasses.replace(refused, retry_after_ms=min(closed.values()))
@@ -87,7 +87,7 @@
             request,
             shard=request.other_shard,
             other_shard=request.shard if was_first else None,
-            begins_within_ms=max(begins_ms, LEAST_BEGINS_MS) if was_first else 0.0,
+            begins_within_ms=max(begins_ms, MIN_START_MS) if was_first else 0.0,
             busy_shard=None if was_first else request.shard,
         )
         self._forget_answer()
@@ -107,9 +107,9 @@
         entry_id: str,
         session: entry_session.EntrySession,
         send: Send,
-        holds: holding.Holding,
+        holds: request_hold.HoldQueue,
         gate: send_gate.SendGate,
-        tell_signals: Callable[[str], None],
+        send_signals: Callable[[str], None],
     ) -> None:
         """Wire what it uses.
 
@@ -119,9 +119,9 @@
             send: Sends a message to a replica.
             holds: Holds requests for which no upstream is known yet.
             gate: Says when an upstream may get a request that is placed here.
-            tell_signals: Tells a replica which signals of upstreams this host knows.
+            send_signals: Tells a replica which signals of upstreams this host knows.
         """
-        self._tell_signals = tell_signals
+        self._tell_signals = send_signals
         self._gate = gate
         self._holds = holds
         self._entry_id = entry_id
@@ -133,7 +133,7 @@
         self._runs_by_upstream: dict[str, int] = {}
         self._told_owner_by_shard: dict[placement_messages.Shard, str] = {}
         self._chosen_count = 0
-        self._belief_by_service: dict[str, placement_messages.ReadingBelief] = {}
+        self._belief_by_service: dict[str, placement_messages.EngineEstimate] = {}
         self.local_placements = 0
 
     def new_ticket_id(self) -> str:
@@ -160,12 +160,12 @@
             runs[answer.upstream_id] = runs.get(answer.upstream_id, 0) + 1
         return answer
 
-    def first_event(self, ticket_id: str, after_ms: float) -> None:
+    def report_first_event(self, ticket_id: str, after_ms: float) -> None:
         """Report a stream's first event."""
         ticket = self._ticket_by_id.get(ticket_id)
         if ticket is None:
             return
-        ticket.has_begun = True
+        ticket.has_started = True
         if ticket.owner_id:
             self._send(ticket.owner_id, placement_messages.FirstEvent(ticket_id, after_ms))
 
@@ -174,7 +174,7 @@
         ticket_id: str,
         end: placement_messages.RunEnd,
         after_ms: float,
-        pauses: placement_messages.Pauses | None = None,
+        pauses: placement_messages.InterEventGaps | None = None,
     ) -> None:
         """Report that a placed request has ended, or is not asked for any more."""
         ticket = self._ticket_by_id.pop(ticket_id, None)
@@ -192,7 +192,7 @@
 
     async def take(self, sender: str, message: Any) -> None:
         """Take an owner's answer."""
-        self._session.hear(sender, _now())
+        self._session.record_contact(sender, _now())
         ticket = self._ticket_by_id.get(message.ticket_id)
         if ticket is None or ticket.answer is not None or sender != ticket.owner_id:
             if isinstance(message, placement_messages.Placed) and not _runs_by(ticket, sender):
@@ -208,12 +208,12 @@
                 ticket.answer = message
         await ticket.changed.set()
 
-    def tell_owners(self, now: float) -> None:
+    def notify_owners(self, now: float) -> None:
         """Tell replicas that have just become owners which requests run where."""
         for shard in tuple(self._told_owner_by_shard):
-            self._tell_owner(self._session.counted(shard), now)
+            self._tell_owner(self._session.resolve_shard(shard), now)
 
-    def move_running(self, now: float) -> None:
+    def report_moved_runs(self, now: float) -> None:
         """Tell owners of requests that run on upstreams which have changed their shard.
 
         Both sides would count them wrongly: the one that placed them hears of their ends, the one
@@ -228,10 +228,10 @@
                 continue
             shard = self._session.shard_of(upstream)
             owner_id = self._tell_owner(shard, now)
-            if owner_id and (owner_id, shard) != (ticket.owner_id, ticket.request.owned_shard):
+            if owner_id and (owner_id, shard) != (ticket.owner_id, ticket.request.target_shard):
                 self._tell_running(ticket, shard, owner_id)
 
-    async def wake_waiting(self) -> None:
+    async def wake_queued(self) -> None:
         """Have those that wait at an owner see whether it still knows them."""
         for ticket in tuple(self._ticket_by_id.values()):
             if ticket.is_queued and ticket.asked_count != self._chosen_count:
@@ -271,12 +271,12 @@
             return
         if ticket.request.service != shard.service or not shard.has(placed.upstream_id):
             return
-        if (owner_id, shard) != (ticket.owner_id, ticket.request.owned_shard):
+        if (owner_id, shard) != (ticket.owner_id, ticket.request.target_shard):
             self._withdraw(ticket)
         request = dataclasses.replace(ticket.request, shard=shard)
         ticket.request = request
         ticket.owner_id = owner_id
-        running = placement_messages.StillRunning(request, placed.upstream_id, ticket.has_begun)
+        running = placement_messages.StillRunning(request, placed.upstream_id, ticket.has_started)
         self._send(owner_id, running)
 
     def _give_back(self, owner_id: str, ticket_id: str) -> None:
@@ -298,7 +298,7 @@
             # Owners place on upstreams that a host which has just started doesn't know yet.
             await self._holds.wait(lambda: self._session.has_view, until - _now())
         while _now() < until:
-            shard = self._session.counted(ticket.request.owned_shard)
+            shard = self._session.resolve_shard(ticket.request.target_shard)
             ticket.request = dataclasses.replace(ticket.request, shard=shard)
             owner_id = self._tell_owner(shard, _now())
             if owner_id and not self._ask_owner(ticket, owner_id):
@@ -319,7 +319,7 @@
                 self._withdraw(ticket)
                 ticket.turn(0.0)
                 continue
-            if self._session.is_passed_over(owner_id, _now()):
+            if self._session.is_unresponsive(owner_id, _now()):
                 self._pass_over(owner_id, "silent")
                 continue
             if ticket.request.trial_key:
@@ -339,7 +339,7 @@
         return True
 
     def _pass_over(self, owner_id: str, why: str) -> None:
-        if self._session.suspect(owner_id):
+        if self._session.mark_unreachable(owner_id):
             logs.event(_log, "owner_passed_over", replica=owner_id, why=why)
 
     async def _hold(self, service: str, until: float) -> bool:
@@ -356,13 +356,13 @@
 
         Returns True without an answer if another owner is to be asked.
         """
-        limit = min(until, _now() + ANSWER_LIMIT_S)
+        limit = min(until, _now() + OWNER_TIMEOUT_S)
         while ticket.answer is None:
             if not ticket.is_queued and _now() >= limit:
                 return False
             if ticket.is_queued and _now() >= until:
                 return True
-            owner_id = self._session.owner(ticket.request.owned_shard, _now())
+            owner_id = self._session.owner(ticket.request.target_shard, _now())
             # One that was chosen anew, if only for another shard, may have dropped what waited.
             is_forgotten = ticket.asked_count != self._chosen_count
             if ticket.is_queued and (owner_id != ticket.owner_id or is_forgotten):
--- a/src/medlarfork/gateway/replica_news.py
+++ b/src/medlarfork/gateway/replica_reporter.py
@@ -11,7 +11,7 @@
 """Makes the message that tells what is known of some keys at a time."""
 
 
-class ReplicaNews:
+class ReplicaReporter:
     """Remember what was found lately; the time is handed in, in seconds."""
 
     def __init__(
@@ -42,14 +42,14 @@
         self._found_at_by_key.update(dict.fromkeys(keys, now))
         self._send_all(keys, now)
 
-    def retell(self, now: float) -> None:
+    def resend(self, now: float) -> None:
         """Tell again what is new; called with each status."""
         for key, at in tuple(self._found_at_by_key.items()):
             if at < now - self._retell_s:
                 del self._found_at_by_key[key]
         self._send_all(tuple(self._found_at_by_key), now)
 
-    def note_replica(
+    def sync_if_restarted(
         self, replica_id: str, up_s: float, known: tuple[str, ...], now: float
     ) -> None:
         """Tell a replica that has started, or that was not heard before, all that is known.
@@ -63,9 +63,9 @@
         before_s = self._up_s_by_replica.get(replica_id)
         self._up_s_by_replica[replica_id] = up_s
         if before_s is None or up_s < before_s:
-            self.tell_one(replica_id, known, now)
+            self.send_snapshot(replica_id, known, now)
 
-    def tell_one(self, replica_id: str, known: tuple[str, ...], now: float) -> None:
+    def send_snapshot(self, replica_id: str, known: tuple[str, ...], now: float) -> None:
         """Tell one replica all that is known."""
         if known:
             self._send(replica_id, self._report(known, now))
--- a/src/medlarfork/gateway/request_handler.py
+++ b/src/medlarfork/gateway/request_handler.py
@@ -11,15 +11,15 @@
 
 from medlarfork import errors, logs
 from medlarfork.gateway import (
-    backpressure_watch,
-    crash_watch,
+    backpressure_tracker,
+    crash_tracker,
     entry_session,
     gateway_metrics,
-    holding,
     owner_client,
-    request_facts,
-    request_names,
-    request_run,
+    request_header_names,
+    request_hold,
+    request_metadata,
+    request_pipeline,
     request_types,
     retry_budget,
 )
@@ -38,14 +38,14 @@
         self,
         *,
         zone: str,
-        names: request_names.RequestNames,
+        names: request_header_names.RequestHeaderNames,
         client: http_client.HttpClient,
         session: entry_session.EntrySession,
         owner: owner_client.OwnerClient,
-        holds: holding.Holding,
-        crashes: crash_watch.CrashWatch,
-        backpressure: backpressure_watch.BackpressureWatch,
-        usage: request_types.Usage,
+        holds: request_hold.HoldQueue,
+        crashes: crash_tracker.CrashTracker,
+        backpressure: backpressure_tracker.BackpressureTracker,
+        usage: request_types.UsageRecorder,
         rules: retry_budget.BudgetRules,
         metrics: gateway_metrics.GatewayMetrics,
     ) -> None:
@@ -85,7 +85,7 @@
             exchange.close_after()
         body = await exchange.read_body()
         try:
-            facts = request_facts.read(exchange.head.headers, self._names)
+            facts = request_metadata.read(exchange.head.headers, self._names)
             if not await self._wait_routing(exchange, facts):
                 return
             route, account = self._admit(exchange.head, facts)
@@ -93,13 +93,13 @@
             await self._refuse(exchange, error)
             return
         admitted = self._admitted(exchange, route, account, facts, body, started_at)
-        self._budgets[admitted.service].note_request(started_at)
-        run = request_run.RequestRun(admitted, self._tools())
+        self._budgets[admitted.service].record_request(started_at)
+        run = request_pipeline.RequestPipeline(admitted, self._tools())
         await self._serve(run, admitted)
         self._record(run.trace, admitted)
 
     async def _wait_routing(
-        self, exchange: http_server.Exchange, facts: request_facts.RequestFacts
+        self, exchange: http_server.Exchange, facts: request_metadata.RequestMetadata
     ) -> bool:
         """Hold a request while no routing is in force; return False if its caller has gone."""
         if self.has_routing:
@@ -121,7 +121,7 @@
         return is_there
 
     def _admit(
-        self, head: http_server.RequestHead, facts: request_facts.RequestFacts
+        self, head: http_server.RequestHead, facts: request_metadata.RequestMetadata
     ) -> tuple[routing.Route, routing.Account | None]:
         """Return the route and the client account of a request.
 
@@ -152,13 +152,13 @@
         exchange: http_server.Exchange,
         route: routing.Route,
         account: routing.Account | None,
-        facts: request_facts.RequestFacts,
+        facts: request_metadata.RequestMetadata,
         body: bytes,
         started_at: float,
-    ) -> request_types.Admitted:
+    ) -> request_types.AdmittedRequest:
         allowed_ms = route.timeout_ms
         if facts.deadline_ms is not None:
-            allowed_ms = min(allowed_ms, facts.deadline_ms - request_run.ANSWER_EARLY_MS)
+            allowed_ms = min(allowed_ms, facts.deadline_ms - request_pipeline.DEADLINE_MARGIN_MS)
         tier = route.tier
         if account is not None and account.tier is not None:
             tier = account.tier
@@ -167,7 +167,7 @@
         key = request_key.request_key(
             name, head.method, head.headers.get("host", ""), head.target, body
         )
-        return request_types.Admitted(
+        return request_types.AdmittedRequest(
             exchange=exchange,
             facts=facts,
             route=route,
@@ -180,8 +180,8 @@
             deadline_at=started_at + allowed_ms / 1000.0,
         )
 
-    def _tools(self) -> request_types.Tools:
-        return request_types.Tools(
+    def _tools(self) -> request_types.SharedContext:
+        return request_types.SharedContext(
             client=self._client,
             names=self._names,
             owner=self._owner,
@@ -195,7 +195,9 @@
             entry_hosts=self._session.entry_hosts,
         )
 
-    async def _serve(self, run: request_run.RequestRun, admitted: request_types.Admitted) -> None:
+    async def _serve(
+        self, run: request_pipeline.RequestPipeline, admitted: request_types.AdmittedRequest
+    ) -> None:
         """Serve until there is a final answer, the time is over, or the caller has gone.
 
         The connection is cut only here, after both tasks have ended: closing a descriptor that a
@@ -209,14 +211,14 @@
         finally:
             run.end_ticket(placement_messages.RunEnd.CANCELLED)
         if group.completed is not serving:
-            run.note_caller_gone()
+            run.record_caller_gone()
         elif serving.exception is not None:
             raise serving.exception
         if not exchange.finished:
             await exchange.abort()
 
     async def _serve_in_time(
-        self, run: request_run.RequestRun, admitted: request_types.Admitted
+        self, run: request_pipeline.RequestPipeline, admitted: request_types.AdmittedRequest
     ) -> None:
         left_s = admitted.deadline_at - time.monotonic()
         try:
@@ -226,7 +228,7 @@
                 run.end_ticket(placement_messages.RunEnd.CANCELLED)
                 await run.time_out()
         except errors.CallerGoneError:
-            run.note_caller_gone()
+            run.record_caller_gone()
 
     async def _refuse(
         self, exchange: http_server.Exchange, error: errors.RequestRefusedError
@@ -243,7 +245,7 @@
         body = _http_messages.error_body(error, error.status)
         await exchange.respond(error.status, headers, body)
 
-    def _record(self, trace: request_types.Trace, admitted: request_types.Admitted) -> None:
+    def _record(self, trace: request_types.Trace, admitted: request_types.AdmittedRequest) -> None:
         """Log the request's decisions in one line, and count it."""
         took_ms = (time.monotonic() - admitted.started_at) * 1000.0
         self._metrics.count(admitted.account, admitted.route.name, trace.status, took_ms)
@@ -271,7 +273,7 @@
 
 
 def _account(
-    table: route_table.RouteTable, route: routing.Route, facts: request_facts.RequestFacts
+    table: route_table.RouteTable, route: routing.Route, facts: request_metadata.RequestMetadata
 ) -> routing.Account | None:
     """Return the client account that a request's key belongs to.
 
--- a/src/medlarfork/gateway/request_names.py
+++ b/src/medlarfork/gateway/request_header_names.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RequestNames:
+class RequestHeaderNames:
     """Hold header names in lower case, and the scheme of keys.
 
     Attributes:
--- a/src/medlarfork/gateway/holding.py
+++ b/src/medlarfork/gateway/request_hold.py
@@ -12,19 +12,19 @@
 
 import curio
 
-LONGEST_HOLD_S = 3.0
+MAX_HOLD_S = 3.0
 """Longest wait, in seconds: an election after a lease has run out (1.4 s) and then one period of
 announcements (1.2 s), with the ways in between."""
 
-MOST_HELD = 400
+MAX_HELD = 400
 """Requests that wait at once: with bodies of 20 KB, as long prompts have, 8 MB."""
 
-ANSWER_S = 0.1
+RESPONSE_RESERVE_S = 0.1
 """Time that is left before a caller gives up when its wait ends, in seconds: a request that goes on
 with less can't be served any more."""
 
 
-class Holding:
+class HoldQueue:
     """Hold requests until a condition comes true."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         """Return how many requests wait."""
         return self._held
 
-    async def note_change(self) -> None:
+    async def notify_change(self) -> None:
         """Have those that wait look at their conditions again."""
         changed, self._changed = self._changed, curio.Event()
         await changed.set()
@@ -46,11 +46,11 @@
         """Wait until a condition is true; return False if that takes too long or too many wait.
 
         Args:
-            condition: What is waited for; looked at after each ``note_change``.
+            condition: What is waited for; looked at after each ``notify_change``.
             left_s: Time until the caller gives up, in seconds.
         """
-        until = time.monotonic() + min(LONGEST_HOLD_S, left_s - ANSWER_S)
-        if self._held >= MOST_HELD:
+        until = time.monotonic() + min(MAX_HOLD_S, left_s - RESPONSE_RESERVE_S)
+        if self._held >= MAX_HELD:
             return condition()
         self._held += 1
         try:
--- a/src/medlarfork/gateway/request_facts.py
+++ b/src/medlarfork/gateway/request_metadata.py
@@ -6,20 +6,20 @@
 from collections.abc import Mapping
 
 from medlarfork import errors
-from medlarfork.gateway import request_names
+from medlarfork.gateway import request_header_names
 from medlarfork.http import _http_messages
 from medlarfork.placement import placement_messages
 
 LOWEST_RANK = 9
 """Upstreams know the ranks 0 to 9; what ranks lower is told as this."""
 
-TARGET_RANKS_MS = (350.0, 1000.0)
+RANK_TARGET_BOUNDS_MS = (350.0, 1000.0)
 """Bounds of the targets that part a tier into ranks for upstreams, in milliseconds: within a tier,
 what is expected sooner is read first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RequestFacts:
+class RequestMetadata:
     """Hold what a caller says of its request.
 
     Attributes:
@@ -35,18 +35,20 @@
     deadline_ms: float | None
     api_key: str
     last_event_id: str
-    parts: tuple[placement_messages.PromptPart, ...]
+    parts: tuple[placement_messages.PromptSegment, ...]
     output_tokens: int
 
 
-def read(headers: Mapping[str, str], names: request_names.RequestNames) -> RequestFacts:
+def read(
+    headers: Mapping[str, str], names: request_header_names.RequestHeaderNames
+) -> RequestMetadata:
     """Read the headers of a request.
 
     Raises:
         errors.RequestRefusedError: A header that placement rests on can't be read.
     """
     scheme, _, api_key = headers.get("authorization", "").partition(" ")
-    return RequestFacts(
+    return RequestMetadata(
         attempt_id=headers.get(names.attempt_id, ""),
         deadline_ms=_deadline(headers.get(names.deadline_ms)),
         api_key=api_key.strip() if scheme.lower() == names.key_scheme.lower() else "",
@@ -56,9 +58,9 @@
     )
 
 
-def for_upstream(
+def upstream_headers(
     headers: Mapping[str, str],
-    names: request_names.RequestNames,
+    names: request_header_names.RequestHeaderNames,
     *,
     upstream_id: str,
     left_ms: float,
@@ -85,8 +87,8 @@
 
 def upstream_rank(tier: int, target_ms: float) -> int:
     """Return the rank that an upstream is told: the tier first, within it the nearer target."""
-    within = sum(target_ms > bound for bound in TARGET_RANKS_MS)
-    return min(max(tier, 0) * (len(TARGET_RANKS_MS) + 1) + within, LOWEST_RANK)
+    within = sum(target_ms > bound for bound in RANK_TARGET_BOUNDS_MS)
+    return min(max(tier, 0) * (len(RANK_TARGET_BOUNDS_MS) + 1) + within, LOWEST_RANK)
 
 
 def _deadline(value: str | None) -> float | None:
@@ -101,12 +103,12 @@
     return deadline_ms
 
 
-def _parts(value: str) -> tuple[placement_messages.PromptPart, ...]:
-    parts: list[placement_messages.PromptPart] = []
+def _parts(value: str) -> tuple[placement_messages.PromptSegment, ...]:
+    parts: list[placement_messages.PromptSegment] = []
     for item in value.split(","):
         part_id, _, tokens = item.strip().partition(":")
         if part_id and tokens.isascii() and tokens.isdigit():
-            parts.append(placement_messages.PromptPart(part_id, int(tokens)))
+            parts.append(placement_messages.PromptSegment(part_id, int(tokens)))
         elif item.strip():
             raise _unreadable("list of prompt parts", value)
     return tuple(parts)
--- a/src/medlarfork/gateway/request_run.py
+++ b/src/medlarfork/gateway/request_pipeline.py
@@ -13,48 +13,50 @@
 from medlarfork import errors
 from medlarfork.coordination import upstream_types
 from medlarfork.gateway import (
-    attempt_policy,
     attempt_sender,
-    event_cutter,
+    event_framer,
+    gap_recorder,
     request_types,
-    stream_pauses,
+    retry_policy,
     upstream_call,
 )
 from medlarfork.http import _http_messages, http_client, sse
 from medlarfork.placement import local_choice, placement_messages, shard_choice
 from medlarfork.quarantine import crash_ledger
 
-ANSWER_EARLY_MS = 20.0
+DEADLINE_MARGIN_MS = 20.0
 """How long before the caller's own deadline a final answer is sent, in milliseconds: its way."""
 
-TRIAL_WAIT_S = 2.0
+MAX_TRIAL_WAIT_S = 2.0
 """How long a request waits for the end of a trial of another one like it, in seconds: most runs end
 within."""
 
-TRIAL_WAIT_SHARE = 0.5
+MAX_TRIAL_WAIT_SHARE = 0.5
 """The same as a share of the time that its caller has left; it needs the rest to be answered."""
 
-TRIAL_ASK_S = 0.1
+TRIAL_POLL_S = 0.1
 """How often it asks meanwhile, in seconds."""
 
 
-class RequestRun:
+class RequestPipeline:
     """Serve one admitted request; ``serve`` returns when its answer has ended."""
 
-    def __init__(self, admitted: request_types.Admitted, tools: request_types.Tools) -> None:
+    def __init__(
+        self, admitted: request_types.AdmittedRequest, tools: request_types.SharedContext
+    ) -> None:
         """Prepare; nothing is sent yet."""
         self.trace = request_types.Trace()
         self._admitted = admitted
         self._tools = tools
         self._sender = attempt_sender.AttemptSender(admitted, tools)
-        self._progress = attempt_policy.Progress()
+        self._progress = retry_policy.Progress()
         self._excluded: list[str] = []
         self._retry_after_ms = local_choice.RETRY_MS
         self._sends = 0
-        self._cutter = event_cutter.EventCutter(admitted.facts.last_event_id)
+        self._cutter = event_framer.EventFramer(admitted.facts.last_event_id)
         self._ticket_id = ""
         self._sent_at = 0.0
-        self._pauses = stream_pauses.StreamPauses()
+        self._pauses = gap_recorder.GapRecorder()
         self._waits_since = admitted.started_at
         self._refusal = errors.Code.OVERLOADED
         self._breaks = 0
@@ -96,8 +98,10 @@
             if not is_rejected or self._tools.backpressure.may_send(placed.upstream_id):
                 self._excluded.append(placed.upstream_id)
             if not await self._may_try_again(end, placed.upstream_id):
-                opens_in_ms = self._tools.backpressure.opens_in_ms(self._admitted.service)
-                self._retry_after_ms = max(self._retry_after_ms, opens_in_ms)
+                remaining_backoff_ms = self._tools.backpressure.remaining_backoff_ms(
+                    self._admitted.service
+                )
+                self._retry_after_ms = max(self._retry_after_ms, remaining_backoff_ms)
                 await self._give_up()
                 return
 
@@ -109,11 +113,11 @@
             self._progress = self._progress.after(placement_messages.RunEnd.CANCELLED)
         await self._finish_without_answer(in_time=False)
 
-    def note_caller_gone(self) -> None:
+    def record_caller_gone(self) -> None:
         """Note that there is nobody left to be answered."""
         self._note_given_up()
         self.trace.result = request_types.Result.CALLER_GONE
-        self.trace.status = request_types.CLOSED_STATUS
+        self.trace.status = request_types.CALLER_GONE_STATUS
 
     def end_ticket(self, end: placement_messages.RunEnd) -> None:
         """Tell the owner that the attempt under way has ended."""
@@ -159,10 +163,12 @@
         """
         now = time.monotonic()
         if self._trial_until is None:
-            self._trial_until = now + min(TRIAL_WAIT_S, TRIAL_WAIT_SHARE * self._left_ms / 1000.0)
+            self._trial_until = now + min(
+                MAX_TRIAL_WAIT_S, MAX_TRIAL_WAIT_SHARE * self._left_ms / 1000.0
+            )
         if now >= self._trial_until:
             return False
-        await curio.sleep(TRIAL_ASK_S)
+        await curio.sleep(TRIAL_POLL_S)
         return True
 
     async def _place(
@@ -172,7 +178,7 @@
         self._sent_at = 0.0
         ticket_id = self._tools.owner.new_ticket_id()
         parts = admitted.facts.parts if admitted.route.has_prompt else ()
-        matter = trial_key or shard_choice.matter(parts) or ticket_id
+        matter = trial_key or shard_choice.affinity_key(parts) or ticket_id
         shard, other_shard = self._tools.shards(admitted.service, matter)
         request = placement_messages.PlaceRequest(
             ticket_id=ticket_id,
@@ -209,7 +215,7 @@
 
     async def _may_try_again(self, end: placement_messages.RunEnd, upstream_id: str) -> bool:
         """Ask the rules, and the budget once an upstream has seen the request."""
-        if not attempt_policy.may_try_again(self._admitted.route, self._progress, self._left_ms):
+        if not retry_policy.may_retry(self._admitted.route, self._progress, self._left_ms):
             return False
         if await self._tools.crashes.is_suspect(self._admitted.key, upstream_id, self._breaks):
             self.trace.reasons.append("upstreams ended while they ran it")
@@ -225,7 +231,7 @@
     def _note_given_up(self) -> None:
         """Have an upstream watched that was at work: one without power breaks no connection."""
         if self._running_at is not None:
-            self._tools.crashes.run_given_up(self._admitted.key, self._running_at)
+            self._tools.crashes.record_abandoned_run(self._admitted.key, self._running_at)
             self._running_at = None
 
     def _note_failure(self, end: placement_messages.RunEnd) -> None:
@@ -240,7 +246,7 @@
 
     async def _note_broken(self, upstream: upstream_types.Announcement) -> None:
         self._breaks += 1
-        await self._tools.crashes.run_broken(self._admitted, upstream)
+        await self._tools.crashes.handle_broken_run(self._admitted, upstream)
 
     async def _attempt(
         self, upstream: upstream_types.Announcement, fetch_from: str
@@ -248,7 +254,7 @@
         """Carry out one attempt; return how it failed, or None if the caller has its answer."""
         self.trace.upstreams.append(upstream.upstream_id)
         self._sent_at = time.monotonic()
-        self._pauses = stream_pauses.StreamPauses()
+        self._pauses = gap_recorder.GapRecorder()
         sent = await self._sender.send(
             upstream,
             fetch_from=fetch_from,
@@ -266,7 +272,7 @@
         try:
             end = await self._relay(sent)
         except errors.UpstreamError as error:
-            self._cutter.drop_pending()
+            self._cutter.discard_pending()
             self.trace.reasons.append(f"{upstream.upstream_id}: {error}")
             await self._note_broken(upstream)
             end = placement_messages.RunEnd.FAILED
@@ -281,7 +287,7 @@
         if response.status < 300 and is_stream:
             await self._relay_stream(response)
             return None
-        if self._progress.answer_begun:
+        if self._progress.response_started:
             await response.read()
             raise errors.UpstreamError(
                 f"The upstream answered {response.status} where a stream was to go on.",
@@ -294,7 +300,7 @@
     ) -> placement_messages.RunEnd | None:
         """Pass on an answer that is read whole first, so that a cut one is never begun."""
         body = await response.read()
-        self._tools.crashes.run_survived(self._admitted.key)
+        self._tools.crashes.record_completed_run(self._admitted.key)
         failed = response.status >= 500
         if failed and self._may_repeat_failure():
             self.trace.reasons.append(f"{self.trace.upstreams[-1]}: status {response.status}")
@@ -307,7 +313,7 @@
     def _may_repeat_failure(self) -> bool:
         """Say whether an upstream's own failure is kept from the caller and tried elsewhere."""
         after = self._progress.after(placement_messages.RunEnd.FAILED)
-        if not attempt_policy.may_try_again(self._admitted.route, after, self._left_ms):
+        if not retry_policy.may_retry(self._admitted.route, after, self._left_ms):
             return False
         budget = self._tools.budgets[self._admitted.service]
         return budget.has_room(time.monotonic(), entry_hosts=self._tools.entry_hosts)
@@ -319,12 +325,12 @@
             whole = self._cutter.feed(chunk)
             if not whole:
                 continue
-            if not self._progress.answer_begun:
+            if not self._progress.response_started:
                 await self._begin_stream(response)
             self._note_event()
             await exchange.send(whole)
-        self._tools.crashes.run_survived(self._admitted.key)
-        if not self._progress.answer_begun:
+        self._tools.crashes.record_completed_run(self._admitted.key)
+        if not self._progress.response_started:
             await self._begin_stream(response)
         await exchange.send(self._cutter.pending)
         await exchange.finish()
@@ -337,10 +343,10 @@
             errors.UpstreamError: The stream is broken or silent.
         """
         after = self._progress.after(placement_messages.RunEnd.FAILED)
-        may_go_on = attempt_policy.may_try_again(self._admitted.route, after, self._left_ms)
-        if not (self._progress.answer_begun and may_go_on):
+        may_go_on = retry_policy.may_retry(self._admitted.route, after, self._left_ms)
+        if not (self._progress.response_started and may_go_on):
             return await response.next_chunk()
-        silence_s = attempt_policy.longest_silence_s(self._admitted.route)
+        silence_s = retry_policy.stall_timeout_s(self._admitted.route)
         try:
             return await curio.timeout_after(silence_s, response.next_chunk)
         except curio.TaskTimeout as error:
@@ -357,10 +363,10 @@
 
     async def _begin_stream(self, response: http_client.Response) -> None:
         after_ms = (time.monotonic() - self._sent_at) * 1000.0
-        self._tools.owner.first_event(self._ticket_id, after_ms)
-        self._sender.count_begun()
+        self._tools.owner.report_first_event(self._ticket_id, after_ms)
+        self._sender.count_started()
         self.trace.first_event_ms = self._since_start_ms()
-        self._progress = dataclasses.replace(self._progress, answer_begun=True)
+        self._progress = dataclasses.replace(self._progress, response_started=True)
         headers = {
             name: value for name, value in response.headers.items() if name != "content-length"
         }
@@ -377,7 +383,7 @@
         if exchange.started:
             self.trace.result = request_types.Result.CUT
             return
-        status = attempt_policy.final_status(self._progress, in_time=in_time)
+        status = retry_policy.final_status(self._progress, in_time=in_time)
         self.trace.status = status
         headers = {"Content-Type": "application/json"}
         if status == 503:
--- a/src/medlarfork/gateway/request_types.py
+++ b/src/medlarfork/gateway/request_types.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from medlarfork.coordination import upstream_types
-from medlarfork.gateway import owner_client, request_facts, request_names, retry_budget
+from medlarfork.gateway import owner_client, request_header_names, request_metadata, retry_budget
 from medlarfork.http import http_client, http_server
 from medlarfork.placement import placement_messages
 from medlarfork.quarantine import crash_ledger
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedRequest:
     """Hold a request that was read, routed and identified.
 
     Attributes:
@@ -33,7 +33,7 @@
     """
 
     exchange: http_server.Exchange
-    facts: request_facts.RequestFacts
+    facts: request_metadata.RequestMetadata
     route: routing.Route
     key: str
     service: str
@@ -44,7 +44,7 @@
     deadline_at: float
 
 
-CLOSED_STATUS = 499
+CALLER_GONE_STATUS = 499
 """Status in logs and metrics for a request whose caller went before its answer."""
 
 
@@ -90,18 +90,20 @@
 """Returns the shard that is to serve what a key names, and the one to ask while that is busy."""
 
 
-class Crashes(Protocol):
+class CrashTracking(Protocol):
     """Say whether a request may run, and take how its runs end (see ``crash_watch``)."""
 
     def standing(self, key: str) -> crash_ledger.Standing:
         """Return whether a request may run."""
         ...
 
-    async def run_broken(self, admitted: Admitted, upstream: upstream_types.Announcement) -> None:
+    async def handle_broken_run(
+        self, admitted: AdmittedRequest, upstream: upstream_types.Announcement
+    ) -> None:
         """Note a run without a whole answer."""
         ...
 
-    def run_given_up(self, key: str, upstream: upstream_types.Announcement) -> None:
+    def record_abandoned_run(self, key: str, upstream: upstream_types.Announcement) -> None:
         """Note a run that nobody waits for any more."""
         ...
 
@@ -109,45 +111,45 @@
         """Say whether a request is not to be sent on, since upstreams ended under it."""
         ...
 
-    def run_survived(self, key: str) -> None:
+    def record_completed_run(self, key: str) -> None:
         """Note that an upstream answered a request whole."""
         ...
 
 
-class Usage(Protocol):
+class UsageRecorder(Protocol):
     """Count requests that began to run (see ``usage_teller``)."""
 
-    def note_begun(self, account: str) -> None:
+    def record_started(self, account: str) -> None:
         """Count a request that began to run now."""
         ...
 
-    def note_sent(self, account: str) -> int:
-        """Note a call that is sent now; return what ``note_taken`` is to be told."""
+    def record_sent(self, account: str) -> int:
+        """Note a call that is sent now; return what ``record_outcome`` is to be told."""
         ...
 
-    def note_taken(self, send: int, *, has_begun: bool) -> None:
+    def record_outcome(self, send: int, *, has_started: bool) -> None:
         """Say whether a call that was sent began to run."""
         ...
 
 
-class NoUsage:
+class NullUsageRecorder:
     """Count nothing, where nobody is told of usage."""
 
-    def note_begun(self, account: str) -> None:
+    def record_started(self, account: str) -> None:
         """Count nothing."""
 
-    def note_sent(self, account: str) -> int:
+    def record_sent(self, account: str) -> int:
         """Return that there is nothing to be told."""
         return 0
 
-    def note_taken(self, send: int, *, has_begun: bool) -> None:
+    def record_outcome(self, send: int, *, has_started: bool) -> None:
         """Count nothing."""
 
 
-class Backpressure(Protocol):
+class BackpressureTracking(Protocol):
     """Take what upstreams say of themselves in answers (see ``backpressure_watch``)."""
 
-    def note_answer(
+    def record_response(
         self,
         upstream_id: str,
         status: int,
@@ -163,7 +165,7 @@
         """Return whether an upstream still takes a request that was placed on it."""
         ...
 
-    def opens_in_ms(self, service: str) -> float:
+    def remaining_backoff_ms(self, service: str) -> float:
         """Return how long all upstreams of a service want no request from here."""
         ...
 
@@ -173,17 +175,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
+class SharedContext:
     """Hold what all requests of an entry host share."""
 
     client: http_client.HttpClient
-    names: request_names.RequestNames
+    names: request_header_names.RequestHeaderNames
     owner: owner_client.OwnerClient
     budgets: dict[str, retry_budget.RetryBudget]
     find_upstream: FindUpstream
-    crashes: Crashes
-    backpressure: Backpressure
-    usage: Usage
+    crashes: CrashTracking
+    backpressure: BackpressureTracking
+    usage: UsageRecorder
     shards: ChooseShards
     zone: str
     entry_hosts: int
--- a/src/medlarfork/gateway/retry_budget.py
+++ b/src/medlarfork/gateway/retry_budget.py
@@ -39,7 +39,7 @@
         self._requests: collections.deque[float] = collections.deque()
         self._repeats: collections.deque[float] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self._requests.append(now)
         self._drop_old(now)
