--- a/src/medlarfork/gateway/attempt_policy.py
+++ b/src/medlarfork/gateway/retry_policy.py
@@ -13,21 +13,21 @@
 from medlarfork.placement import placement_messages
 from medlarfork.routes import routing
 
-REJECTIONS_ALLOWED = 6
+MAX_REJECTIONS = 6
 """Upstreams that may refuse one request, or be unreachable for it, before it is given up: each
 costs a round trip and a part of the budget of repeats, and where so many refuse hardly any other
 takes it."""
 
-SHORTEST_ATTEMPT_MS = 50.0
+MIN_ATTEMPT_MS = 50.0
 """Time left under which another attempt is not worth beginning, in milliseconds: no upstream can
 answer over two links in less."""
 
 
-LEAST_SILENCE_S = 1.0
+MIN_STALL_TIMEOUT_S = 1.0
 """Shortest silence in a stream that is taken for a failure, in seconds: several times the longest
 pause that reading beside the stream causes."""
 
-SILENCE_FACTOR = 1.5
+STALL_TIMEOUT_FACTOR = 1.5
 """The same as a multiple of the pause that callers expect at most: beyond it the stream is late
 anyway."""
 
@@ -39,12 +39,12 @@
     Attributes:
         runs: Attempts that an upstream may have run.
         rejections: Attempts that provably did not run.
-        answer_begun: Whether the caller has a part of an answer.
+        response_started: Whether the caller has a part of an answer.
     """
 
     runs: int = 0
     rejections: int = 0
-    answer_begun: bool = False
+    response_started: bool = False
 
     def after(self, end: placement_messages.RunEnd) -> Progress:
         """Return the progress after an attempt that ended without a whole answer."""
@@ -57,18 +57,18 @@
                 return dataclasses.replace(self, runs=self.runs + 1)
 
 
-def may_try_again(route: routing.Route, progress: Progress, left_ms: float) -> bool:
+def may_retry(route: routing.Route, progress: Progress, left_ms: float) -> bool:
     """Say whether the rules allow another attempt; the budget is asked separately."""
-    if left_ms < SHORTEST_ATTEMPT_MS or progress.rejections >= REJECTIONS_ALLOWED:
+    if left_ms < MIN_ATTEMPT_MS or progress.rejections >= MAX_REJECTIONS:
         return False
     if progress.runs == 0:
         return True
     return route.may_repeat and progress.runs < route.max_attempts
 
 
-def longest_silence_s(route: routing.Route) -> float:
+def stall_timeout_s(route: routing.Route) -> float:
     """Return the silence after which a stream that can go on elsewhere is given up."""
-    return max(LEAST_SILENCE_S, SILENCE_FACTOR * route.gap_ms / 1000.0)
+    return max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * route.gap_ms / 1000.0)
 
 
 def final_status(progress: Progress, *, in_time: bool) -> int:
--- a/src/medlarfork/gateway/upstream_call.py
+++ b/src/medlarfork/gateway/upstream_call.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from medlarfork import errors
-from medlarfork.gateway import request_names
+from medlarfork.gateway import request_header_names
 from medlarfork.http import http_client
 from medlarfork.placement import placement_messages
 
@@ -55,7 +55,7 @@
 async def send(
     client: http_client.HttpClient,
     call: Call,
-    names: request_names.RequestNames,
+    names: request_header_names.RequestHeaderNames,
     note_head: NoteHead,
     may_send: MaySend,
 ) -> http_client.Response | Failure:
@@ -89,7 +89,9 @@
     return response
 
 
-def _is_own(response: http_client.Response, call: Call, names: request_names.RequestNames) -> bool:
+def _is_own(
+    response: http_client.Response, call: Call, names: request_header_names.RequestHeaderNames
+) -> bool:
     """Say whether an answer returns the request's id; a late second answer bears another one."""
     returned = response.headers.get(names.attempt_id)
     if returned is None:
--- a/src/medlarfork/gateway/usage_teller.py
+++ b/src/medlarfork/gateway/usage_reporter.py
@@ -16,7 +16,7 @@
 """Sends a message to a replica."""
 
 
-class UsageTeller:
+class UsageReporter:
     """Own the counts of one start of an entry host."""
 
     def __init__(self, window_s: float, send: Send) -> None:
@@ -32,24 +32,24 @@
         self._clock = fleet_clock.FleetClock()
         self._send = send
 
-    def note_begun(self, account: str) -> None:
+    def record_started(self, account: str) -> None:
         """Count a request that began to run now."""
         if account:
-            self._counter.note_begun(account, self._true_s())
+            self._counter.record_started(account, self._true_s())
 
-    def note_sent(self, account: str) -> int:
-        """Note a call that is sent now; return what ``note_taken`` is to be told, 0 for nothing."""
-        return self._counter.note_sent(account, self._true_s()) if account else 0
+    def record_sent(self, account: str) -> int:
+        """Note a call that is sent now; return what ``record_outcome`` is to be told, 0 for nothing."""
+        return self._counter.record_sent(account, self._true_s()) if account else 0
 
-    def note_taken(self, send: int, *, has_begun: bool) -> None:
+    def record_outcome(self, send: int, *, has_started: bool) -> None:
         """Say whether a call that was sent began to run."""
         if send:
-            self._counter.note_taken(send, has_begun=has_begun)
+            self._counter.record_outcome(send, has_started=has_started)
 
-    def note_time(self, replica_id: str, wall_s: float) -> None:
+    def observe_clock(self, replica_id: str, wall_s: float) -> None:
         """Take a replica's time of day, in Unix seconds; 0 if it does not say."""
         if wall_s:
-            self._clock.note(replica_id, wall_s, _steady_s())
+            self._clock.add_sample(replica_id, wall_s, _steady_s())
 
     def confirm(self, leader_id: str, receipt: usage_messages.UsageReceipt) -> None:
         """Take a leader's receipt."""
@@ -58,16 +58,16 @@
     def tell(self, leader_id: str) -> None:
         """Tell the leader what it has not confirmed."""
         if leader_id:
-            self._send(leader_id, self._counter.told(leader_id, self._true_s()))
+            self._send(leader_id, self._counter.pending_report(leader_id, self._true_s()))
 
-    async def tell_always(self, session: entry_session.EntrySession) -> None:
+    async def report_periodically(self, session: entry_session.EntrySession) -> None:
         """Tell the leader that the session knows, again and again."""
         while True:
             self.tell(session.leader_id)
-            await curio.sleep(usage_counter.tell_period_s(session.entry_hosts))
+            await curio.sleep(usage_counter.report_period_s(session.entry_hosts))
 
     def _true_s(self) -> float:
-        return self._clock.true_s(_steady_s(), time.time())
+        return self._clock.fleet_time_s(_steady_s(), time.time())
 
 
 def _steady_s() -> float:
--- a/src/medlarfork/orders/_fleet.py
+++ b/src/medlarfork/orders/_fleet.py
@@ -45,7 +45,7 @@
         self._assign(upstream_id, "" if found is None else found.name)
         return found
 
-    def note_weights(self, upstream_id: str, held: tuple[order_types.LoadedWeights, ...]) -> None:
+    def record_weights(self, upstream_id: str, held: tuple[order_types.LoadedWeights, ...]) -> None:
         """Count what an engine holds or is about to load."""
         self._copies.subtract(self._weights_by_engine.pop(upstream_id, ()))
         self._copies.update(held)
@@ -55,11 +55,11 @@
 
     def forget(self, upstream_id: str) -> None:
         """Stop counting an engine that is gone."""
-        self.note_weights(upstream_id, ())
+        self.record_weights(upstream_id, ())
         self._assign(upstream_id, "")
         self._being_taken_out.discard(upstream_id)
 
-    def take_out(self, upstream_id: str, desired: order_types.DesiredState) -> bool:
+    def reserve_out_of_service(self, upstream_id: str, desired: order_types.DesiredState) -> bool:
         """Note that an engine is being taken out; return False if too many others are out."""
         out = self._being_taken_out | self._board.out_of_service
         unavailable = sum(1 for other in out if self._may_be_under(other, desired))
@@ -69,7 +69,7 @@
         self._being_taken_out.add(upstream_id)
         return True
 
-    def taken_out(self, upstream_id: str) -> None:
+    def release_reservation(self, upstream_id: str) -> None:
         """Note that the board answered: whether it is out is on the board now."""
         self._being_taken_out.discard(upstream_id)
 
--- a/src/medlarfork/orders/_order_session.py
+++ b/src/medlarfork/orders/_order_session.py
@@ -16,7 +16,7 @@
     inventory,
     order_types,
     orders,
-    weight_store,
+    weight_load_scheduler,
 )
 from medlarfork.settings import planner_settings
 
@@ -53,7 +53,7 @@
         self._board = board
         self._upstreams = upstreams
         self._fleet = _fleet.Fleet(board, upstreams)
-        self._store = weight_store.WeightStore(settings.store)
+        self._store = weight_load_scheduler.WeightLoadScheduler(settings.store)
         self._clear_of_older_at = now + settings.order_time_s
         self._engine_by_id: dict[str, _Engine] = {}
         self._engine_by_order: dict[str, _Engine] = {}
@@ -118,7 +118,7 @@
             # The answer on its way may be older than the change.
             self._set(engine, _Phase.UNREAD, now)
 
-    def on_read(self, read: order_types.ReadBackDone, now: float) -> None:
+    def on_read(self, read: order_types.EngineStateRead, now: float) -> None:
         """Judge the engine's open order by its state, or decide what it needs next."""
         engine = self._engine_by_id.get(read.upstream_id)
         if engine is None or engine.phase is not _Phase.READING:
@@ -128,7 +128,7 @@
         if read.state is None:
             self._on_unreadable(engine, now)
             return
-        self._fleet.note_weights(read.upstream_id, read.state.weights)
+        self._fleet.record_weights(read.upstream_id, read.state.weights)
         if engine.order is None:
             self._decide(engine, read.state, now)
             return
@@ -207,7 +207,7 @@
             return
         if command.number != engine.mark_number:
             return
-        self._fleet.taken_out(command.upstream_id)
+        self._fleet.release_reservation(command.upstream_id)
         engine.drained = False
         if verdict is order_types.Verdict.ACCEPTED and not command.in_service:
             self._set(engine, _Phase.DRAINING, now + self._settings.drain_s)
@@ -262,7 +262,7 @@
             return
         engine.read_number = next(self._numbers)
         self._actions.append(
-            order_types.ReadBack(engine.upstream_id, notice.address, engine.read_number)
+            order_types.ReadEngineState(engine.upstream_id, notice.address, engine.read_number)
         )
         self._set(engine, _Phase.READING, now + self._settings.read_timeout_s)
 
@@ -313,7 +313,7 @@
     ) -> None:
         if self._is_held_back(engine, order_types.ChangeRole(role), now):
             return
-        if self._fleet.take_out(engine.upstream_id, desired):
+        if self._fleet.reserve_out_of_service(engine.upstream_id, desired):
             self._mark(engine, False, now)
         else:
             self._set(engine, _Phase.IDLE, now + self._settings.poll_s)
@@ -333,7 +333,7 @@
             return
         engine.wanted = weights
         held = (*state.weights, _next_step.loaded(weights))
-        self._fleet.note_weights(engine.upstream_id, held)
+        self._fleet.record_weights(engine.upstream_id, held)
         self._set(engine, _Phase.QUEUED, math.inf)
 
     def _is_held_back(self, engine: _Engine, action: order_types.OrderAction, now: float) -> bool:
@@ -342,7 +342,7 @@
         self._set(engine, _Phase.IDLE, engine.retry_at)
         return True
 
-    def _on_grant(self, engine: _Engine, grant: weight_store.Grant, now: float) -> None:
+    def _on_grant(self, engine: _Engine, grant: weight_load_scheduler.Grant, now: float) -> None:
         assert engine.wanted is not None
         action = order_types.LoadWeights(engine.wanted, grant.bytes_per_second)
         self._order(engine, action, now)
--- a/src/medlarfork/orders/inventory.py
+++ b/src/medlarfork/orders/inventory.py
@@ -113,13 +113,13 @@
             touched[notice.upstream_id] = None
         return self._merge(touched)
 
-    def check(self, entry_id: str, digest: int) -> ResendInventory | None:
+    def check_digest(self, entry_id: str, digest: int) -> ResendInventory | None:
         """Compare with the digest in a heartbeat; return what to send if they differ."""
         if self._digest_by_entry.get(entry_id, 0) == digest:
             return None
         return ResendInventory(entry_id)
 
-    def forget_entry(self, entry_id: str) -> tuple[str, ...]:
+    def remove_entry(self, entry_id: str) -> tuple[str, ...]:
         """Forget an entry host that is no member any more; return the ids as ``apply`` does."""
         touched = self._forget_notices(entry_id)
         self._notices_by_entry.pop(entry_id, None)
--- a/src/medlarfork/orders/lease_table.py
+++ b/src/medlarfork/orders/lease_table.py
@@ -49,9 +49,9 @@
         Raises:
             errors.LinkError: The bytes are no command of this version.
         """
-        return REPLIES.pack(self.decide(COMMANDS.unpack(command)))
+        return REPLIES.pack(self.apply_command(COMMANDS.unpack(command)))
 
-    def decide(self, command: Any) -> lease_types.LeaseReply:
+    def apply_command(self, command: Any) -> lease_types.LeaseReply:
         """Apply a command and return the reply."""
         lease = self._lease_by_name.get(command.name, _Lease())
         changed = self._changed(lease, command)
--- a/src/medlarfork/orders/order_client.py
+++ b/src/medlarfork/orders/order_client.py
@@ -68,7 +68,7 @@
         held = self._lease.may_act(now) and self._lease.fence == action.fence
         return held and now < action.not_after
 
-    async def read_back(self, action: order_types.ReadBack) -> order_types.ReadBackDone:
+    async def read_state(self, action: order_types.ReadEngineState) -> order_types.EngineStateRead:
         """Read an engine's state; the event carries None if it gave none."""
         try:
             response = await self._client.request(
@@ -88,7 +88,7 @@
                 state = msgspec.json.decode(body, type=order_types.EngineState)
         except (errors.UpstreamError, msgspec.MsgspecError):
             state = None
-        return order_types.ReadBackDone(action.upstream_id, action.number, state)
+        return order_types.EngineStateRead(action.upstream_id, action.number, state)
 
 
 def _result(status: int) -> order_types.OrderResult:
--- a/src/medlarfork/orders/order_desk.py
+++ b/src/medlarfork/orders/order_manager.py
@@ -28,15 +28,15 @@
 LEASE_NAME = "orders"
 """The lease under which engines are ordered."""
 
-RETAKE_S = 5.0
+RETAKE_DELAY_S = 5.0
 """Pause before the lease is taken again after a newer holder was seen, in seconds."""
 
-FORGET_AFTER_S = 2 * heartbeat.MEMBER_LEASE_S
+LOST_ENTRY_RETENTION_S = 2 * heartbeat.MEMBER_LEASE_S
 """How long a lost entry host's notices are kept, so that the next owner can send its own first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DeskOptions:
+class OrderManagerOptions:
     """Configure the desk.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EntryHeard:
+class EntryHeartbeat:
     """Event: an entry host sent a heartbeat with the digest of its notices."""
 
     entry_id: str
@@ -82,13 +82,13 @@
     command: bytes
 
 
-class OrderDesk:
+class OrderManager:
     """Turn the control leader's events into orders; pure, see ``node.Node``.
 
     Besides its own events it takes ``lease_types.LeadershipWon``, ``LeadershipLost`` and
-    ``Stopping``, ``inventory.InventoryReport``, ``order_types.OrderDone``, ``ReadBackDone`` and
+    ``Stopping``, ``inventory.InventoryReport``, ``order_types.OrderDone``, ``EngineStateRead`` and
     ``Drained``, and ``node.TimeDue`` at ``wake_at``. Its actions are ``ProposeToSubState``,
-    ``order_types.OrderEngine`` and ``ReadBack``, and ``node.Send``.
+    ``order_types.OrderEngine`` and ``ReadEngineState``, and ``node.Send``.
 
     Attributes:
         board: What is declared, in progress and finished.
@@ -98,7 +98,11 @@
     """
 
     def __init__(
-        self, options: DeskOptions, *, board: orders.OrderBoard, table: lease_table.LeaseTable
+        self,
+        options: OrderManagerOptions,
+        *,
+        board: orders.OrderBoard,
+        table: lease_table.LeaseTable,
     ) -> None:
         """Read the sub-states, to which the log's commands are applied between events."""
         self.wake_at = math.inf
@@ -159,7 +163,7 @@
                     waiting.extendleft(reversed(self._planner.handle(action, now)))
                 case order_types.Deposed():
                     waiting.extend(self.lease.handle(lease_types.Stopping(), now))
-                    self._retake_at = now + RETAKE_S
+                    self._retake_at = now + RETAKE_DELAY_S
                     self._wake(self._retake_at)
                 case node.Wake(at):
                     self._wake(at)
@@ -203,11 +207,11 @@
                 return self._on_applied(event, now)
             case inventory.InventoryReport():
                 return self._changed(self._upstreams.apply(event), now)
-            case EntryHeard(entry_id, digest):
+            case EntryHeartbeat(entry_id, digest):
                 return self._on_heard(entry_id, digest)
             case EntryLost(entry_id):
-                self._forget_at_by_entry[entry_id] = now + FORGET_AFTER_S
-                self._wake(now + FORGET_AFTER_S)
+                self._forget_at_by_entry[entry_id] = now + LOST_ENTRY_RETENTION_S
+                self._wake(now + LOST_ENTRY_RETENTION_S)
                 return ()
             case node.TimeDue():
                 return (*self._go_on(now), *self._give(event, now))
@@ -240,7 +244,7 @@
 
     def _on_heard(self, entry_id: str, digest: int) -> tuple[Any, ...]:
         self._forget_at_by_entry.pop(entry_id, None)
-        resend = self._upstreams.check(entry_id, digest)
+        resend = self._upstreams.check_digest(entry_id, digest)
         return () if resend is None else (node.Send(entry_id, resend),)
 
     def _changed(self, upstream_ids: Iterable[str], now: float) -> tuple[Any, ...]:
@@ -253,7 +257,7 @@
         actions: list[Any] = []
         for entry_id in due:
             del self._forget_at_by_entry[entry_id]
-            actions += self._changed(self._upstreams.forget_entry(entry_id), now)
+            actions += self._changed(self._upstreams.remove_entry(entry_id), now)
         if self._retake_at <= now:
             self._retake_at = math.inf
             actions += self.lease.handle(lease_types.LeadershipWon(), now)
--- a/src/medlarfork/orders/order_planner.py
+++ b/src/medlarfork/orders/order_planner.py
@@ -136,7 +136,7 @@
     match event:
         case order_types.InventoryChanged(upstream_id):
             session.on_inventory(upstream_id, now)
-        case order_types.ReadBackDone():
+        case order_types.EngineStateRead():
             session.on_read(event, now)
         case order_types.OrderDone():
             session.on_order_done(event, now)
--- a/src/medlarfork/orders/order_types.py
+++ b/src/medlarfork/orders/order_types.py
@@ -276,7 +276,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadBackDone:
+class EngineStateRead:
     """Event: an engine's state was read; None if it did not answer."""
 
     upstream_id: str
@@ -334,7 +334,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadBack:
+class ReadEngineState:
     """Action: read an engine's state; the event repeats ``number``."""
 
     upstream_id: str
--- a/src/medlarfork/orders/orders.py
+++ b/src/medlarfork/orders/orders.py
@@ -110,9 +110,9 @@
         Raises:
             errors.LinkError: The bytes are no command of this version.
         """
-        return REPLIES.pack(self.decide(COMMANDS.unpack(command), now_ms))
+        return REPLIES.pack(self.apply_command(COMMANDS.unpack(command), now_ms))
 
-    def decide(self, command: Any, now_ms: int) -> order_types.BoardReply:
+    def apply_command(self, command: Any, now_ms: int) -> order_types.BoardReply:
         """Apply a command and return the reply."""
         match command:
             case order_types.Declare():
--- a/src/medlarfork/orders/weight_store.py
+++ b/src/medlarfork/orders/weight_load_scheduler.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreSettings:
+class WeightStoreSettings:
     """Configure the plan.
 
     Attributes:
@@ -61,10 +61,10 @@
     free_at: float = 0.0
 
 
-class WeightStore:
+class WeightLoadScheduler:
     """Decide which waiting loads start when; pure, times are monotonic seconds."""
 
-    def __init__(self, settings: StoreSettings) -> None:
+    def __init__(self, settings: WeightStoreSettings) -> None:
         """Start with all lanes free."""
         self._settings = settings
         self._waiting_by_id: dict[str, _Waiting] = {}
--- a/src/medlarfork/placement/start_rules.py
+++ b/src/medlarfork/placement/admission_policy.py
@@ -11,29 +11,29 @@
 
 from medlarfork.placement import placement_cost, placement_messages
 
-SHORTEST_RETRY_MS = 200.0
+MIN_RETRY_MS = 200.0
 """Least time that a refused caller is told to wait: two round trips and a slot that frees."""
 
 RETRY_SHARE = 0.3
 """Share of the time that its caller has in which one that is refused is asked to come back: callers
 heed no more than a third of it, and need the rest."""
 
-READ_SHARE = 0.9
+PREFILL_SHARE = 0.9
 """Share of an engine's time that reading is given. Streams advance by about one token a chunk
 while it reads, and at their full speed in the rest, without which the longest would not end within
 their callers' time."""
 
-BACKLOG_MS = 250.0
+MAX_BACKLOG_MS = 250.0
 """Reading that may be under way at an engine when another prompt is sent there: enough that it
 never idles for the way of an answer and the next question, which is a few milliseconds."""
 
-SHORT_BACKLOG_MS = 400.0
+MAX_SHORT_BACKLOG_MS = 400.0
 """The same for short prompts, in milliseconds: engines read the more urgent of them first."""
 
-EARLY_HARM = 0.3
+MAX_EARLY_HARM = 0.3
 """Harm to streams, in requests made late, that a request does not wait to avoid."""
 
-LATE_HARM = 3.0
+MAX_LATE_HARM = 3.0
 """The same once it can't wait any more: about what a long prompt is worth beside a short stream.
 Who is refused has nothing, and those who are harmed still get their answer, late."""
 
@@ -45,25 +45,27 @@
 """Factor on the wait of a request that will be late: those that can still be on time, and come
 meanwhile, go before it."""
 
-RUN_FACTOR = 2.0
+DECODE_SLOWDOWN = 2.0
 """Factor on the time that an answer's tokens take in steps without reading: beside reading, which
 has up to nine tenths of an engine's time in an overload, they take longer."""
 
-PENDING_TOKENS = 1000
+MIN_PENDING_TOKENS = 1000
 """Shared tokens under reading for which a request waits: fewer are read again in less time than a
 look at those that wait takes."""
 
-PATIENCE = 0.7
+MAX_WAIT_SHARE = 0.7
 """Share of a request's target up to which it waits for the engine that suits it best; the rest is
 kept for reading, the way, and errors of the prediction."""
 
 
-def slack_ms(request: placement_messages.PlaceRequest, read_ms: float, waited_ms: float) -> float:
+def slack_ms(
+    request: placement_messages.PlaceRequest, prefill_ms: float, waited_ms: float
+) -> float:
     """Return how much longer a request can wait for the best upstream, in milliseconds."""
-    return PATIENCE * request.target_ms - waited_ms - read_ms
+    return MAX_WAIT_SHARE * request.target_ms - waited_ms - prefill_ms
 
 
-def may_start(cost: placement_cost.Cost, slack: float, *, yields: bool) -> bool:
+def may_start(cost: placement_cost.Cost, slack: float, *, is_deferrable: bool) -> bool:
     """Say whether a request starts on the upstream that costs it least.
 
     It waits while its engine has reading enough, and while its own reading would make streams there
@@ -73,18 +75,18 @@
     Args:
         cost: What starting would cost.
         slack: How much longer it can wait, in milliseconds.
-        yields: Whether its target is the longest of the service's: its kind gives way to others.
+        is_deferrable: Whether its target is the longest of the service's: its kind gives way to others.
     """
-    is_long = cost.read_ms > placement_cost.LONG_READ_MS
-    if not yields and slack <= 0:
+    is_long = cost.prefill_ms > placement_cost.LONG_PREFILL_MS
+    if not is_deferrable and slack <= 0:
         return True
-    most_ms = BACKLOG_MS if is_long else SHORT_BACKLOG_MS
-    if cost.wait_ms + cost.rest_ms > most_ms:
+    most_ms = MAX_BACKLOG_MS if is_long else MAX_SHORT_BACKLOG_MS
+    if cost.backlog_ms + cost.cooldown_ms > most_ms:
         return False
-    return cost.harm <= (EARLY_HARM if slack > 0 else LATE_HARM)
+    return cost.harm <= (MAX_EARLY_HARM if slack > 0 else MAX_LATE_HARM)
 
 
-def reads_along(cost: placement_cost.Cost, slack: float) -> bool:
+def awaits_shared_prefill(cost: placement_cost.Cost, slack: float) -> bool:
     """Say whether a request waits until its engine has read what it shares with another one.
 
     Started together, both would read it: an engine holds a part only once it was read to its end.
@@ -94,26 +96,26 @@
         cost: What starting now would cost.
         slack: How much longer it can wait, in milliseconds.
     """
-    return slack > 0 and cost.pending_tokens > PENDING_TOKENS
+    return slack > 0 and cost.pending_tokens > MIN_PENDING_TOKENS
 
 
-def rest_ms(read_ms: float) -> float:
+def prefill_cooldown_ms(prefill_ms: float) -> float:
     """Return how long streams are left without long reading after a prompt was read."""
-    if read_ms <= placement_cost.LONG_READ_MS:
+    if prefill_ms <= placement_cost.LONG_PREFILL_MS:
         return 0.0
-    return read_ms * (1.0 / READ_SHARE - 1.0)
+    return prefill_ms * (1.0 / PREFILL_SHARE - 1.0)
 
 
-def run_ms(request: placement_messages.PlaceRequest, step_ms: float) -> float:
+def decode_ms(request: placement_messages.PlaceRequest, step_ms: float) -> float:
     """Return how long a stream takes after its first event, in an overload, in milliseconds."""
-    return RUN_FACTOR * step_ms * request.output_tokens
+    return DECODE_SLOWDOWN * step_ms * request.output_tokens
 
 
 def is_hopeless(
     request: placement_messages.PlaceRequest,
     predicted_wait_ms: float,
-    read_ms: float,
-    run_ms: float = 0.0,
+    prefill_ms: float,
+    decode_ms: float = 0.0,
 ) -> bool:
     """Say whether a request that has just come would wait too long to be of use.
 
@@ -124,15 +126,15 @@
     what is urgent around, and save little. Its own reading does not count: the largest prompts
     would be refused at waits that others are let through with, and hardly ever be served.
     """
-    if request.target_ms <= 0 or read_ms <= placement_cost.LONG_READ_MS:
+    if request.target_ms <= 0 or prefill_ms <= placement_cost.LONG_PREFILL_MS:
         return False
-    allowed_ms = max(request.target_ms, min(request.left_ms - run_ms, request.waits_ms))
+    allowed_ms = max(request.target_ms, min(request.left_ms - decode_ms, request.max_wait_ms))
     return predicted_wait_ms > HOPELESS_SHARE * allowed_ms
 
 
 def overloaded_retry_ms(request: placement_messages.PlaceRequest) -> float:
     """Return when one comes back that waited as long as it could: what held it up lasts as long."""
-    return max(SHORTEST_RETRY_MS, min(request.waits_ms, RETRY_SHARE * request.left_ms))
+    return max(MIN_RETRY_MS, min(request.max_wait_ms, RETRY_SHARE * request.left_ms))
 
 
 def retry_after_ms(request: placement_messages.PlaceRequest, predicted_wait_ms: float) -> float:
--- a/src/medlarfork/placement/drain_rate.py
+++ b/src/medlarfork/placement/drain_rate.py
@@ -8,7 +8,7 @@
 """Time over which starts are counted, in seconds: tens of long prompts, and less than the targets
 that are predicted with it."""
 
-LEAST_SHARE = 0.1
+MIN_RATE = 0.1
 """Least rate that is reckoned with, as a share of one engine's time: nothing is predicted to wait
 forever."""
 
@@ -21,16 +21,16 @@
         self._starts: collections.deque[tuple[float, float]] = collections.deque()
         self._read_ms = 0.0
 
-    def note(self, read_ms: float, now: float) -> None:
+    def record_start(self, prefill_ms: float, now: float) -> None:
         """Count the reading of a request that starts now, in milliseconds."""
-        self._starts.append((now, read_ms))
-        self._read_ms += read_ms
+        self._starts.append((now, prefill_ms))
+        self._read_ms += prefill_ms
         self._drop_old(now)
 
     def per_ms(self, now: float) -> float:
         """Return how many milliseconds of reading start in a millisecond."""
         self._drop_old(now)
-        return max(self._read_ms / (WINDOW_S * 1000.0), LEAST_SHARE)
+        return max(self._read_ms / (WINDOW_S * 1000.0), MIN_RATE)
 
     def _drop_old(self, now: float) -> None:
         while self._starts and self._starts[0][0] < now - WINDOW_S:
--- a/src/medlarfork/placement/owner_share.py
+++ b/src/medlarfork/placement/limit_share.py
@@ -14,7 +14,7 @@
 another owner, in seconds: all have chosen anew by then."""
 
 
-class OwnerShare:
+class LimitShare:
     """Keep which entry hosts ask here, and which ask another owner."""
 
     def __init__(self) -> None:
@@ -23,14 +23,14 @@
         self._chosen_by_shard: dict[placement_messages.Shard, set[str]] = {}
         self._left_by_shard: dict[placement_messages.Shard, set[str]] = {}
         self._entry_ids: frozenset[str] = frozenset()
-        self._most_entries = 0
+        self._max_entries = 0
 
-    def use_entries(self, entry_ids: frozenset[str], most: int) -> None:
+    def use_entries(self, entry_ids: frozenset[str], max_entries: int) -> None:
         """Take which entry hosts are there now, and the most of them in the last seconds."""
         self._entry_ids = entry_ids
-        self._most_entries = most
+        self._max_entries = max_entries
 
-    def note_chosen(
+    def record_choice(
         self, shard: placement_messages.Shard, entry_id: str, *, is_chosen: bool, now: float
     ) -> None:
         """Take an entry host's word on whether it asks here for a shard."""
@@ -41,7 +41,7 @@
         added.add(entry_id)
         removed.discard(entry_id)
 
-    def forget(self, shard: placement_messages.Shard) -> None:
+    def evict(self, shard: placement_messages.Shard) -> None:
         """Drop what is known of a shard that nobody asks for."""
         for known_by_shard in (
             self._asked_since_by_shard,
@@ -59,4 +59,4 @@
         if now < since + TAKEOVER_S:
             own &= self._chosen_by_shard[shard]
         count = max(len(own), 1)
-        return count / max(self._most_entries, count)
+        return count / max(self._max_entries, count)
--- a/src/medlarfork/placement/local_choice.py
+++ b/src/medlarfork/placement/local_choice.py
@@ -16,11 +16,11 @@
 RETRY_MS = 300.0
 """When to come back if no upstream is known, in milliseconds: a replica tells its view within."""
 
-ALONE_SHARE = 0.5
+STANDALONE_SHARE = 0.5
 """Part of an upstream's rate limit that all entry hosts which place alone use together: the owner
 that others still reach uses the whole."""
 
-SLACK_RUNS = 2
+MAX_EXTRA_RUNS = 2
 """Own runs by which the preferred upstream may exceed the least busy one."""
 
 
@@ -42,8 +42,8 @@
     if not usable:
         return ""
     least = min(runs_by_upstream.get(item.upstream_id, 0) for item in usable)
-    key = shard_choice.matter(request.parts) or salt + request.ticket_id
-    slack = SLACK_RUNS if request.parts else 0
+    key = shard_choice.affinity_key(request.parts) or salt + request.ticket_id
+    slack = MAX_EXTRA_RUNS if request.parts else 0
     near = [item for item in usable if runs_by_upstream.get(item.upstream_id, 0) <= least + slack]
     return rendezvous.rank(key, [item.upstream_id for item in near])[0]
 
@@ -69,13 +69,13 @@
         entry_hosts: How many hosts share the rate limits of upstreams.
         now: The time in seconds.
     """
-    share = ALONE_SHARE / entry_hosts
+    share = STANDALONE_SHARE / entry_hosts
     waits_s = [gate.wait_s(item.upstream_id, entry_id, now, share) for item in upstreams]
     is_open = [wait_s <= 0 for wait_s in waits_s]
     open_now = tuple(itertools.compress(upstreams, is_open))
     chosen = choose(request, open_now, runs_by_upstream, entry_id)
     if chosen:
-        gate.note_send(chosen, now, share)
+        gate.record_send(chosen, now, share)
         return placement_messages.Placed(request.ticket_id, chosen)
     why = "no upstream of the service is known"
     if upstreams:
--- a/src/medlarfork/placement/placement_answer.py
+++ b/src/medlarfork/placement/placement_decision.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Grounds:
+class DecisionInputs:
     """Hold what a placement rests on, for the log.
 
     Attributes:
@@ -17,7 +17,7 @@
         running: Requests that run there already.
         candidates: Upstreams that were compared.
         tokens_per_ms: The rate of reading that was reckoned with.
-        pause_ms: The longest pause of a stream beside reading that was reckoned with.
+        max_gap_ms: The longest pause of a stream beside reading that was reckoned with.
     """
 
     waited_ms: float
@@ -25,19 +25,19 @@
     running: int
     candidates: int
     tokens_per_ms: float
-    pause_ms: float = 0.0
+    max_gap_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Decision:
     """Tell an entry host what was decided.
 
     Attributes:
         entry_id: Who asked.
         message: The decision.
-        grounds: What a placement rests on; None for the other answers.
+        decision_inputs: What a placement rests on; None for the other answers.
     """
 
     entry_id: str
     message: placement_messages.Answer
-    grounds: Grounds | None = None
+    decision_inputs: DecisionInputs | None = None
--- a/src/medlarfork/placement/placement_messages.py
+++ b/src/medlarfork/placement/placement_messages.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PromptPart:
+class PromptSegment:
     """Name one part of a prompt that several requests may share; parts come in order."""
 
     part_id: str
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OfferedWork:
+class ServiceLoad:
     """Tell how much work the owners of a service at one replica were asked to place.
 
     Attributes:
@@ -89,7 +89,7 @@
     left_ms: float
     target_ms: float = 0.0
     gap_ms: float = 0.0
-    parts: tuple[PromptPart, ...] = ()
+    parts: tuple[PromptSegment, ...] = ()
     output_tokens: int = 0
     first_left_ms: float = 0.0
     zone: str = ""
@@ -106,7 +106,7 @@
         return sum(part.tokens for part in self.parts)
 
     @property
-    def waits_ms(self) -> float:
+    def max_wait_ms(self) -> float:
         """Return how long it may wait for its first event, in milliseconds."""
         return min(self.left_ms, self.first_left_ms) if self.first_left_ms else self.left_ms
 
@@ -116,13 +116,13 @@
         return self.prompt_tokens + self.output_tokens if self.parts else 0
 
     @property
-    def owned_shard(self) -> Shard:
+    def target_shard(self) -> Shard:
         """Return the part whose owner is asked: the whole service unless a part is named."""
         return self.shard or Shard(self.service)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadingBelief:
+class EngineEstimate:
     """Hold what an owner has learnt of how a service's engines work (see ``read_rate``).
 
     Attributes:
@@ -152,7 +152,7 @@
     ticket_id: str
     upstream_id: str
     fetch_from: str = ""
-    belief: ReadingBelief | None = None
+    belief: EngineEstimate | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -233,7 +233,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pauses:
+class InterEventGaps:
     """Hold the pauses between the events of one stream, in milliseconds.
 
     Attributes:
@@ -259,7 +259,7 @@
     ticket_id: str
     end: RunEnd
     after_ms: float
-    pauses: Pauses | None = None
+    pauses: InterEventGaps | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -291,7 +291,7 @@
 
     shard: Shard
     is_chosen: bool
-    belief: ReadingBelief | None = None
+    belief: EngineEstimate | None = None
 
 
 PLACEMENT_MESSAGES: tuple[type, ...] = (
--- a/src/medlarfork/placement/shard_choice.py
+++ b/src/medlarfork/placement/shard_choice.py
@@ -23,21 +23,21 @@
 from medlarfork.coordination import upstream_types
 from medlarfork.placement import placement_messages
 
-UPSTREAMS = 12
+UPSTREAMS_PER_SHARD = 12
 """Upstreams that a shard has on average, at most: more cost its owner more for each request, and
 with fewer, shards are so uneven that the smallest refuse while others have room."""
 
-OWNERS_KEPT = 256
+OWNER_CACHE_SIZE = 256
 """Results that are remembered: asked for with every request, and new only when a replica comes or
 goes."""
 
-MATTER_PART = 1
+AFFINITY_SEGMENT = 1
 """Which part of a prompt names the matter that requests share; nearly all share the first."""
 
 
 def count(upstreams: int) -> int:
     """Return into how many shards a service with this many upstreams is divided."""
-    return max(1, math.ceil(upstreams / UPSTREAMS))
+    return max(1, math.ceil(upstreams / UPSTREAMS_PER_SHARD))
 
 
 def sizes(
@@ -53,9 +53,9 @@
     }
 
 
-def matter(parts: tuple[placement_messages.PromptPart, ...]) -> str:
+def affinity_key(parts: tuple[placement_messages.PromptSegment, ...]) -> str:
     """Return what a prompt is about; empty if it shares nothing with others."""
-    return parts[MATTER_PART].part_id if len(parts) > MATTER_PART else ""
+    return parts[AFFINITY_SEGMENT].part_id if len(parts) > AFFINITY_SEGMENT else ""
 
 
 def choose(
@@ -81,7 +81,7 @@
     return first, second
 
 
-@functools.lru_cache(maxsize=OWNERS_KEPT)
+@functools.lru_cache(maxsize=OWNER_CACHE_SIZE)
 def owners(service: str, count: int, replica_ids: tuple[str, ...]) -> tuple[str, ...]:
     """Return the owner of each shard of a service, in order; empty without replicas.
 
--- a/src/medlarfork/placement/shard_gate.py
+++ b/src/medlarfork/placement/shard_gate.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from medlarfork.backpressure import send_gate
-from medlarfork.placement import upstream_load, waiting_line
+from medlarfork.placement import upstream_load, wait_queue
 
 
 class ShardGate:
@@ -20,28 +20,28 @@
         share: The part of each limit that may be used here.
     """
 
-    def __init__(self, gate: send_gate.SendGate, line: waiting_line.WaitingLine) -> None:
+    def __init__(self, gate: send_gate.SendGate, queue: wait_queue.WaitQueue) -> None:
         """Use a gate, and the requests that wait."""
         self._gate = gate
-        self._line = line
+        self._queue = queue
         self.share = 1.0
 
     @property
-    def is_idle(self) -> bool:
+    def is_unrestricted(self) -> bool:
         """Return whether no upstream asks for anything."""
-        return self._gate.is_idle
+        return self._gate.is_unrestricted
 
     def is_open(self, load: upstream_load.UpstreamLoad, entry_id: str, now: float) -> bool:
         """Return whether an upstream may get a request of an entry host now."""
-        return self._gate.is_idle or self._wait_s(load, entry_id, now) <= 0
+        return self._gate.is_unrestricted or self._wait_s(load, entry_id, now) <= 0
 
-    def note_send(self, load: upstream_load.UpstreamLoad, now: float) -> None:
+    def record_send(self, load: upstream_load.UpstreamLoad, now: float) -> None:
         """Count a request that is placed."""
-        self._gate.note_send(load.announcement.upstream_id, now, self.share)
+        self._gate.record_send(load.announcement.upstream_id, now, self.share)
 
     def closed_ms(
         self,
-        waiting: waiting_line.Waiting,
+        waiting: wait_queue.WaitingRequest,
         allowed: Iterable[upstream_load.UpstreamLoad],
         now: float,
     ) -> float:
@@ -63,7 +63,7 @@
                 limited_s.append(wait_s)
                 rates.append(rate)
         if rates:
-            paused_s.append(min(limited_s) + self._line.count_before(waiting) / sum(rates))
+            paused_s.append(min(limited_s) + self._queue.count_before(waiting) / sum(rates))
         return min(paused_s, default=0.0) * 1000.0
 
     def _wait_s(self, load: upstream_load.UpstreamLoad, entry_id: str, now: float) -> float:
--- a/src/medlarfork/placement/service_owner.py
+++ b/src/medlarfork/placement/shard_owner.py
@@ -7,18 +7,18 @@
 from medlarfork.backpressure import send_gate, signal_ledger
 from medlarfork.coordination import upstream_types
 from medlarfork.placement import (
-    placement_answer,
+    admission_policy,
+    placement_decision,
     placement_messages,
     spillover,
-    start_rules,
     upstream_chooser,
     upstream_load,
     wait_forecast,
-    waiting_line,
+    wait_queue,
 )
 from medlarfork.routes import routing
 
-MOST_WAITING = 2000
+MAX_WAITING = 2000
 """Requests that wait for a slot at once; beyond, new ones are refused, which bounds memory."""
 
 PASS_PERIOD_S = 0.01
@@ -26,16 +26,16 @@
 target. Without it each run that ends costs a pass, and an owner that falls behind never recovers:
 the ends that it has not read yet make engines look full, and more requests wait."""
 
-COMPARISONS = 24
+COMPARISONS_PER_PASS = 24
 """Upstreams that are compared for the requests of one kind in one pass. With the period it keeps an
 owner whose engines are all busy at a part of its processor: one that answers late leaves entry
 hosts to fill engines blindly, which then stop what is more urgent."""
 
-LEAST_TRIES = 2
+MIN_TRIES = 2
 """Requests of one kind that are tried in a pass however many upstreams there are."""
 
 
-class ServiceOwner:
+class ShardOwner:
     """Decide for one service; pure, the time is handed in."""
 
     def __init__(self, gate: send_gate.SendGate | None = None) -> None:
@@ -45,21 +45,21 @@
             gate: Says which upstreams may get a request; None where none asks for anything.
         """
         self._longest_target_ms = 0.0
-        self._line = waiting_line.WaitingLine()
+        self._queue = wait_queue.WaitQueue()
         shared = gate or send_gate.SendGate(signal_ledger.SignalLedger())
-        self._chooser = upstream_chooser.UpstreamChooser(shared, self._line)
-        self.rate = self._chooser.rate
+        self._chooser = upstream_chooser.UpstreamChooser(shared, self._queue)
+        self.estimator = self._chooser.estimator
         self.load_by_id = self._chooser.load_by_id
         self.gate = self._chooser.gate
-        self._forecast = wait_forecast.WaitForecast(self._line)
+        self._forecast = wait_forecast.WaitForecast(self._queue)
         self._busy_shards = spillover.BusyShards()
         self._passed_at = -math.inf
-        self.offered_read_ms = 0.0
+        self.offered_prefill_ms = 0.0
 
     @property
     def waiting(self) -> int:
         """Return how many requests wait for a slot."""
-        return len(self._line)
+        return len(self._queue)
 
     @property
     def running(self) -> int:
@@ -76,52 +76,56 @@
 
     def place(
         self, entry_id: str, request: placement_messages.PlaceRequest, now: float
-    ) -> tuple[placement_answer.Answer, ...]:
+    ) -> tuple[placement_decision.Decision, ...]:
         """Place a request at once, let it wait, send it to another shard, or refuse it.
 
         One that is asked for again, by a host that chose its owner anew, gets its answer again.
         """
         known = self._known_answer(request.ticket_id)
         if known is not None:
-            return (placement_answer.Answer(entry_id, known),)
-        self._busy_shards.note(request, now)
-        waiting = waiting_line.Waiting(
+            return (placement_decision.Decision(entry_id, known),)
+        self._busy_shards.record(request, now)
+        waiting = wait_queue.WaitingRequest(
             entry_id,
             request,
             now,
-            self._chooser.least_read_ms(request),
-            start_rules.run_ms(request, self.rate.step_ms),
+            self._chooser.min_prefill_ms(request),
+            admission_policy.decode_ms(request, self.estimator.step_ms),
         )
-        self.offered_read_ms += waiting.read_ms
-        if self._yields(request):
+        self.offered_prefill_ms += waiting.prefill_ms
+        if self._is_deferrable(request):
             predicted_ms = self._predicted_wait_ms(waiting, now)
-            if start_rules.is_hopeless(request, predicted_ms, waiting.read_ms, waiting.run_ms):
+            if admission_policy.is_hopeless(
+                request, predicted_ms, waiting.prefill_ms, waiting.decode_ms
+            ):
                 if self._busy_shards.may_ask(request, now):
-                    return (self._busy(waiting, predicted_ms + waiting.read_ms),)
+                    return (self._busy(waiting, predicted_ms + waiting.prefill_ms),)
                 why = f"it would wait about {predicted_ms:.0f} ms"
-                after_ms = start_rules.retry_after_ms(request, predicted_ms)
+                after_ms = admission_policy.retry_after_ms(request, predicted_ms)
                 return (self._refuse(waiting, why, after_ms),)
         closed_ms = self._chooser.closed_ms(waiting, now)
         if self._is_closed_too_long(waiting, closed_ms, now):
-            return (self._turn_away(waiting, closed_ms, now),)
+            return (self._reject_closed(waiting, closed_ms, now),)
         answer = self._try(waiting, now)
         if answer is not None:
             return (answer,)
         if self._busy_shards.may_ask(request, now):
-            begins_ms = max(self._begins_ms(waiting, now), closed_ms)
-            if begins_ms >= spillover.most_begins_ms(request, self.rate.tokens_per_ms):
+            begins_ms = max(self._predicted_start_ms(waiting, now), closed_ms)
+            if begins_ms >= spillover.max_start_ms(request, self.estimator.tokens_per_ms):
                 return (self._busy(waiting, begins_ms),)
-        if len(self._line) >= MOST_WAITING:
+        if len(self._queue) >= MAX_WAITING:
             why = "too many requests wait already"
-            return (self._refuse(waiting, why, start_rules.SHORTEST_RETRY_MS),)
-        if not self._line:
-            self._forecast.note_first_waits(now)
-        self._line.add(waiting)
-        return (placement_answer.Answer(entry_id, placement_messages.Queued(request.ticket_id)),)
+            return (self._refuse(waiting, why, admission_policy.MIN_RETRY_MS),)
+        if not self._queue:
+            self._forecast.record_queue_start(now)
+        self._queue.add(waiting)
+        return (
+            placement_decision.Decision(entry_id, placement_messages.Queued(request.ticket_id)),
+        )
 
     def _known_answer(self, ticket_id: str) -> placement_messages.Answer | None:
         """Return what was answered to a request that waits or runs."""
-        if ticket_id in self._line:
+        if ticket_id in self._queue:
             return placement_messages.Queued(ticket_id)
         for upstream_id, load in self.load_by_id.items():
             if ticket_id in load.run_by_ticket:
@@ -134,23 +138,27 @@
             run = load.run_by_ticket.get(message.ticket_id)
             if run is None:
                 continue
-            begun = load.begin(message.ticket_id, start_rules.rest_ms(run.read_ms), now)
-            if begun is not None and begun.is_telling:
-                self.rate.learn(begun.read_tokens, message.after_ms)
+            begun = load.record_first_event(
+                message.ticket_id, admission_policy.prefill_cooldown_ms(run.prefill_ms), now
+            )
+            if begun is not None and begun.is_rate_sample:
+                self.estimator.observe_first_event(begun.prefill_tokens, message.after_ms)
 
     def on_ended(
         self, message: placement_messages.RunEnded, now: float
-    ) -> tuple[placement_answer.Answer, ...]:
+    ) -> tuple[placement_decision.Decision, ...]:
         """Free the slot of a run that ended, or drop a request that does not wait any more."""
-        self._line.remove(message.ticket_id)
+        self._queue.remove(message.ticket_id)
         for load in self.load_by_id.values():
             run = load.end(message.ticket_id, message.end, now)
             if run is not None and message.pauses is not None:
                 event_tokens = self._chooser.event_tokens
-                self.rate.learn_pauses(message.pauses, run.most_beside_ms, event_tokens)
+                self.estimator.observe_gaps(
+                    message.pauses, run.max_concurrent_prefill_ms, event_tokens
+                )
         return self.serve_due(now)
 
-    def serve_due(self, now: float) -> tuple[placement_answer.Answer, ...]:
+    def serve_due(self, now: float) -> tuple[placement_decision.Decision, ...]:
         """Start those that can, unless that was looked at just now."""
         if now < self._passed_at + PASS_PERIOD_S:
             return ()
@@ -163,21 +171,21 @@
         load = self.load_by_id.get(message.upstream_id)
         if load is None or message.request.ticket_id in load.run_by_ticket:
             return
-        read_tokens = load.cache.uncached_tokens(message.request.parts)
+        prefill_tokens = load.cache.uncached_tokens(message.request.parts)
         run = upstream_load.Run(
             entry_id,
             message.request,
-            read_tokens,
-            read_tokens / self.rate.tokens_per_ms,
-            is_telling=False,
+            prefill_tokens,
+            prefill_tokens / self.estimator.tokens_per_ms,
+            is_rate_sample=False,
             has_begun=message.has_begun,
-            until=now + message.request.left_ms / 1000.0,
+            deadline=now + message.request.left_ms / 1000.0,
         )
         load.add(run, now)
 
-    def forget_entry(self, entry_id: str, now: float) -> tuple[placement_answer.Answer, ...]:
+    def release_entry(self, entry_id: str, now: float) -> tuple[placement_decision.Decision, ...]:
         """Free what a lost entry host held; its upstream connections are gone with it."""
-        self._line.remove_entry(entry_id)
+        self._queue.remove_entry(entry_id)
         for load in self.load_by_id.values():
             lost = [
                 ticket_id
@@ -201,7 +209,7 @@
                 del self.load_by_id[upstream_id]
         return overdue
 
-    def serve_waiting(self, now: float) -> tuple[placement_answer.Answer, ...]:
+    def serve_waiting(self, now: float) -> tuple[placement_decision.Decision, ...]:
         """Start those that can: the highest tier first, then the nearest target.
 
         Of each kind only the first ones are tried in one pass: what holds these up holds up those
@@ -209,25 +217,25 @@
         """
         self._passed_at = now
         tries_left: dict[tuple[int, float], int] = {}
-        most_tries = max(LEAST_TRIES, COMPARISONS // max(len(self._chooser.present), 1))
-        answers: list[placement_answer.Answer] = []
-        for waiting in self._line.in_order(now):
-            left = tries_left.get(waiting.kind, most_tries)
+        max_tries = max(MIN_TRIES, COMPARISONS_PER_PASS // max(len(self._chooser.present), 1))
+        answers: list[placement_decision.Decision] = []
+        for waiting in self._queue.in_order(now):
+            left = tries_left.get(waiting.kind, max_tries)
             answer = self._serve(waiting, now, may_try=left > 0)
             if answer is None:
                 tries_left[waiting.kind] = left - 1
                 continue
-            self._line.remove(waiting.request.ticket_id)
+            self._queue.remove(waiting.request.ticket_id)
             answers.append(answer)
         return tuple(answers)
 
     def _serve(
-        self, waiting: waiting_line.Waiting, now: float, *, may_try: bool
-    ) -> placement_answer.Answer | None:
+        self, waiting: wait_queue.WaitingRequest, now: float, *, may_try: bool
+    ) -> placement_decision.Decision | None:
         """Return what becomes of a waiting request, or None if it goes on waiting."""
         why = "it could not begin in time"
-        retry_ms = start_rules.overloaded_retry_ms(waiting.request)
-        if waiting.waits_until <= now:
+        retry_ms = admission_policy.overloaded_retry_ms(waiting.request)
+        if waiting.answer_by <= now:
             closed_ms = self._chooser.closed_ms(waiting, now)
             return self._refuse(waiting, why, max(retry_ms, closed_ms))
         answer = self._try(waiting, now) if may_try else None
@@ -236,115 +244,119 @@
         if may_try:
             closed_ms = self._chooser.closed_ms(waiting, now)
             if self._is_closed_too_long(waiting, closed_ms, now):
-                return self._turn_away(waiting, closed_ms, now)
+                return self._reject_closed(waiting, closed_ms, now)
         return self._refuse(waiting, why, retry_ms) if self._is_too_late(waiting, now) else None
 
     def _is_closed_too_long(
-        self, waiting: waiting_line.Waiting, closed_ms: float, now: float
+        self, waiting: wait_queue.WaitingRequest, closed_ms: float, now: float
     ) -> bool:
-        return closed_ms > 0 and now + closed_ms / 1000.0 > waiting.begins_until
+        return closed_ms > 0 and now + closed_ms / 1000.0 > waiting.latest_start
 
-    def _turn_away(
-        self, waiting: waiting_line.Waiting, closed_ms: float, now: float
-    ) -> placement_answer.Answer:
+    def _reject_closed(
+        self, waiting: wait_queue.WaitingRequest, closed_ms: float, now: float
+    ) -> placement_decision.Decision:
         """Send a request on that no upstream takes in time, or refuse it if nobody else may."""
         if self._busy_shards.may_ask(waiting.request, now):
             return self._busy(waiting, closed_ms)
         why = f"every upstream is at its limit or wants a pause for about {closed_ms:.0f} ms"
-        retry_ms = max(closed_ms, start_rules.SHORTEST_RETRY_MS)
+        retry_ms = max(closed_ms, admission_policy.MIN_RETRY_MS)
         ticket_id = waiting.request.ticket_id
         cause = placement_messages.RefusalCause.CLOSED
         refused = placement_messages.PlaceRefused(ticket_id, retry_ms, why, cause)
-        return placement_answer.Answer(waiting.entry_id, refused)
+        return placement_decision.Decision(waiting.entry_id, refused)
 
-    def _is_too_late(self, waiting: waiting_line.Waiting, now: float) -> bool:
+    def _is_too_late(self, waiting: wait_queue.WaitingRequest, now: float) -> bool:
         """Return whether a late request would be of no use to its caller any more."""
-        is_late = waiting.is_late(now) and self._yields(waiting.request)
-        return is_late and waiting.begins_until <= now
+        is_late = waiting.is_late(now) and self._is_deferrable(waiting.request)
+        return is_late and waiting.latest_start <= now
 
-    def _try(self, waiting: waiting_line.Waiting, now: float) -> placement_answer.Answer | None:
+    def _try(
+        self, waiting: wait_queue.WaitingRequest, now: float
+    ) -> placement_decision.Decision | None:
         """Return the placement, or None if the request has to wait."""
         request = waiting.request
         best = self._chooser.best(waiting, now)
         if best is None:
             return None
-        waited_ms = (now - waiting.since) * 1000.0
-        slack_ms = start_rules.slack_ms(request, best.cost.read_ms, waited_ms)
-        if start_rules.reads_along(best.cost, slack_ms):
+        waited_ms = (now - waiting.queued_at) * 1000.0
+        slack_ms = admission_policy.slack_ms(request, best.cost.prefill_ms, waited_ms)
+        if admission_policy.awaits_shared_prefill(best.cost, slack_ms):
             return None
-        if self._chooser.has_tight() and not start_rules.may_start(
-            best.cost, slack_ms, yields=self._yields(request)
+        if self._chooser.has_tight_stream() and not admission_policy.may_start(
+            best.cost, slack_ms, is_deferrable=self._is_deferrable(request)
         ):
             return None
         return self._start(waiting, best, now)
 
     def _start(
         self,
-        waiting: waiting_line.Waiting,
+        waiting: wait_queue.WaitingRequest,
         choice: upstream_chooser.Choice,
         now: float,
-    ) -> placement_answer.Answer:
+    ) -> placement_decision.Decision:
         request, load, cost = waiting.request, choice.load, choice.cost
-        if self._yields(request):
-            self._forecast.note_start(waiting.read_ms, now)
+        if self._is_deferrable(request):
+            self._forecast.record_start(waiting.prefill_ms, now)
         run = upstream_load.Run(
             waiting.entry_id,
             request,
-            cost.read_tokens,
-            cost.read_ms,
-            is_telling=cost.wait_ms <= 0.0 and not cost.fetch_from,
-            until=waiting.until,
+            cost.prefill_tokens,
+            cost.prefill_ms,
+            is_rate_sample=cost.wait_ms <= 0.0 and not cost.fetch_from,
+            deadline=waiting.deadline,
         )
         self._chooser.add(run, load, now)
         placed = placement_messages.Placed(
             request.ticket_id,
             load.announcement.upstream_id,
             cost.fetch_from,
-            self.rate.belief if self.rate.has_measured else None,
+            self.estimator.belief if self.estimator.has_measured else None,
         )
-        grounds = placement_answer.Grounds(
-            waited_ms=(now - waiting.since) * 1000.0,
+        decision_inputs = placement_decision.DecisionInputs(
+            waited_ms=(now - waiting.queued_at) * 1000.0,
             cost=cost,
             running=len(load.run_by_ticket) - 1,
             candidates=len(self._chooser.present),
-            tokens_per_ms=self.rate.tokens_per_ms,
-            pause_ms=self.rate.pause_ms(self._chooser.event_tokens),
+            tokens_per_ms=self.estimator.tokens_per_ms,
+            max_gap_ms=self.estimator.max_gap_ms(self._chooser.event_tokens),
         )
-        return placement_answer.Answer(waiting.entry_id, placed, grounds)
+        return placement_decision.Decision(waiting.entry_id, placed, decision_inputs)
 
-    def _predicted_wait_ms(self, waiting: waiting_line.Waiting, now: float) -> float:
+    def _predicted_wait_ms(self, waiting: wait_queue.WaitingRequest, now: float) -> float:
         """Return how long a request that comes now would wait, in milliseconds."""
         present = self._chooser.present
-        tight_ms = self._chooser.reading().tight_ms
+        tight_gap_ms = self._chooser.prefill_model().tight_gap_ms
         return self._forecast.wait_ms(
             waiting,
-            engines_apart=sum(not load.has_tight(tight_ms) for load in present),
+            unconstrained_engines=sum(not load.has_tight_stream(tight_gap_ms) for load in present),
             backlog_ms=min((load.backlog_ms(now) for load in present), default=0.0),
             now=now,
         )
 
-    def _begins_ms(self, waiting: waiting_line.Waiting, now: float) -> float:
+    def _predicted_start_ms(self, waiting: wait_queue.WaitingRequest, now: float) -> float:
         """Return when a request that can't start at once would begin, in milliseconds.
 
         Short ones wait for slots and for streams to end rather than for reading: of these nothing
         is foreseen.
         """
-        if spillover.shared_tokens(waiting.request) <= spillover.CHEAP_TOKENS:
-            return spillover.MOST_BEGINS_MS
-        return self._predicted_wait_ms(waiting, now) + waiting.read_ms
+        if spillover.shared_tokens(waiting.request) <= spillover.CHEAP_RECOMPUTE_TOKENS:
+            return spillover.UNKNOWN_START_MS
+        return self._predicted_wait_ms(waiting, now) + waiting.prefill_ms
 
-    def _yields(self, request: placement_messages.PlaceRequest) -> bool:
+    def _is_deferrable(self, request: placement_messages.PlaceRequest) -> bool:
         """Return whether no kind of request has a longer target; learnt from those that came."""
         self._longest_target_ms = max(self._longest_target_ms, request.target_ms)
         return request.target_ms >= self._longest_target_ms
 
-    def _busy(self, waiting: waiting_line.Waiting, begins_ms: float) -> placement_answer.Answer:
+    def _busy(
+        self, waiting: wait_queue.WaitingRequest, begins_ms: float
+    ) -> placement_decision.Decision:
         busy = placement_messages.Busy(waiting.request.ticket_id, begins_ms)
-        return placement_answer.Answer(waiting.entry_id, busy)
+        return placement_decision.Decision(waiting.entry_id, busy)
 
     def _refuse(
-        self, waiting: waiting_line.Waiting, why: str, retry_after_ms: float
-    ) -> placement_answer.Answer:
+        self, waiting: wait_queue.WaitingRequest, why: str, retry_after_ms: float
+    ) -> placement_decision.Decision:
         ticket_id = waiting.request.ticket_id
         refused = placement_messages.PlaceRefused(ticket_id, retry_after_ms, why)
-        return placement_answer.Answer(waiting.entry_id, refused)
+        return placement_decision.Decision(waiting.entry_id, refused)
--- a/src/medlarfork/placement/spillover.py
+++ b/src/medlarfork/placement/spillover.py
@@ -12,7 +12,7 @@
 
 from medlarfork.placement import placement_messages
 
-CHEAP_TOKENS = 1000
+CHEAP_RECOMPUTE_TOKENS = 1000
 """Shared tokens up to which reading them again is cheaper than any wait, a few steps of an engine:
 such a request spills as soon as it can't start."""
 
@@ -20,30 +20,30 @@
 """Share of its target that a request with a longer shared part waits for the engines that hold it.
 Foreseen waits are off by up to a half, so beyond it the request may be late there."""
 
-SPILL_READS = 4.0
+SPILL_RECOMPUTE_FACTOR = 4.0
 """How many times the reading of its shared part a request has to gain by going elsewhere, besides.
 Where all shards are full, that reading delays all that wait there, and the request gains
 nothing."""
 
-BUSY_S = 0.3
+BUSY_RETENTION_S = 0.3
 """How long a shard that was found busy is not asked for another request, in seconds: a few
 requests end in it. Where all are full, each request would else be three questions."""
 
-MOST_BEGINS_MS = 1e9
+UNKNOWN_START_MS = 1e9
 """Stands for a wait that nothing foresees."""
 
 
-def most_begins_ms(request: placement_messages.PlaceRequest, tokens_per_ms: float) -> float:
+def max_start_ms(request: placement_messages.PlaceRequest, tokens_per_ms: float) -> float:
     """Return how late a request may begin before another shard is asked, in milliseconds.
 
     Args:
         request: The request.
         tokens_per_ms: How fast engines read.
     """
-    gain_ms = SPILL_READS * shared_tokens(request) / tokens_per_ms
+    gain_ms = SPILL_RECOMPUTE_FACTOR * shared_tokens(request) / tokens_per_ms
     if request.begins_within_ms > 0:
         return request.begins_within_ms - gain_ms
-    if shared_tokens(request) <= CHEAP_TOKENS:
+    if shared_tokens(request) <= CHEAP_RECOMPUTE_TOKENS:
         return 0.0
     return SPILL_SHARE * request.target_ms + gain_ms
 
@@ -60,10 +60,10 @@
         """Start with none."""
         self._until_by_shard: dict[placement_messages.Shard, float] = {}
 
-    def note(self, request: placement_messages.PlaceRequest, now: float) -> None:
+    def record(self, request: placement_messages.PlaceRequest, now: float) -> None:
         """Take what a request tells of the shard that it asked before it came back."""
         if request.busy_shard is not None:
-            self._until_by_shard[request.busy_shard] = now + BUSY_S
+            self._until_by_shard[request.busy_shard] = now + BUSY_RETENTION_S
 
     def may_ask(self, request: placement_messages.PlaceRequest, now: float) -> bool:
         """Say whether a request may ask another shard; one that was sent here goes back."""
--- a/src/medlarfork/placement/upstream_chooser.py
+++ b/src/medlarfork/placement/upstream_chooser.py
@@ -7,13 +7,13 @@
 from medlarfork.backpressure import send_gate
 from medlarfork.coordination import upstream_types
 from medlarfork.placement import (
+    engine_estimator,
     placement_cost,
     placement_messages,
-    read_parts,
-    read_rate,
+    recent_prefixes,
     shard_gate,
     upstream_load,
-    waiting_line,
+    wait_queue,
 )
 from medlarfork.routes import routing
 
@@ -33,25 +33,25 @@
     """Compare upstreams; the time is handed in, in seconds.
 
     Attributes:
-        rate: What is learnt of how the engines work.
+        estimator: What is learnt of how the engines work.
         load_by_id: What is known of each upstream, by incarnation.
         gate: When upstreams may get a request.
     """
 
-    def __init__(self, gate: send_gate.SendGate, line: waiting_line.WaitingLine) -> None:
+    def __init__(self, gate: send_gate.SendGate, queue: wait_queue.WaitQueue) -> None:
         """Start without upstreams, as a plain service.
 
         Args:
             gate: Says which upstreams may get a request.
-            line: The requests that wait.
+            queue: The requests that wait.
         """
         self._memory_tokens = PLAIN_MEMORY_TOKENS
         self.event_tokens = 1
         self._fetch_ms_per_token = 0.0
-        self._read_parts = read_parts.ReadParts()
-        self.rate = read_rate.ReadRate()
+        self._recent_prefixes = recent_prefixes.RecentPrefixes()
+        self.estimator = engine_estimator.EngineEstimator()
         self.load_by_id: dict[str, upstream_load.UpstreamLoad] = {}
-        self.gate = shard_gate.ShardGate(gate, line)
+        self.gate = shard_gate.ShardGate(gate, queue)
 
     def use_engine(self, engine: routing.EngineFacts | None) -> None:
         """Take what the routing says of the service's engines; None for plain services."""
@@ -59,7 +59,7 @@
         self.event_tokens = 1 if engine is None else engine.event_tokens
         self._fetch_ms_per_token = 0.0 if engine is None else engine.fetch_ms_per_token
         for load in self.load_by_id.values():
-            load.use_memory(self._memory_tokens)
+            load.set_memory(self._memory_tokens)
 
     def use_upstreams(self, announcements: dict[str, upstream_types.Announcement]) -> None:
         """Take the upstreams that may be used now; runs on others are left to their ends.
@@ -81,24 +81,24 @@
         """Return the upstreams that may be used now."""
         return [load for load in self.load_by_id.values() if load.is_present]
 
-    def best(self, waiting: waiting_line.Waiting, now: float) -> Choice | None:
+    def best(self, waiting: wait_queue.WaitingRequest, now: float) -> Choice | None:
         """Return the upstream that costs a request least, or None if none may take it now."""
         request = waiting.request
         candidates = self._candidates(waiting, now)
         if not candidates:
             return None
-        given = placement_cost.Surroundings(
-            reading=self.reading(),
-            held_elsewhere=self._read_parts.read_lately(request.parts, now),
-            holder=self._holder(request, now),
+        inputs = placement_cost.CostInputs(
+            prefill_model=self.prefill_model(),
+            cached_elsewhere=self._recent_prefixes.recently_computed(request.parts, now),
+            prefix_source=self._prefix_source(request, now),
             prompt_tokens=request.prompt_tokens,
-            waited_ms=(now - waiting.since) * 1000.0,
+            waited_ms=(now - waiting.queued_at) * 1000.0,
             now=now,
         )
         best: Choice | None = None
         for load in candidates:
-            load.steps.use(self.event_tokens, self.rate.step_ms, self.rate.chunk_ms)
-            found = placement_cost.cost(load, request, given)
+            load.steps.configure(self.event_tokens, self.estimator.step_ms, self.estimator.chunk_ms)
+            found = placement_cost.cost(load, request, inputs)
             if best is None or found.total < best.cost.total:
                 best = Choice(load, found)
         return best
@@ -106,56 +106,56 @@
     def add(self, run: upstream_load.Run, load: upstream_load.UpstreamLoad, now: float) -> None:
         """Count a run that is placed on an upstream."""
         load.add(run, now)
-        self.gate.note_send(load, now)
-        self._read_parts.note(run.request.parts, now)
+        self.gate.record_send(load, now)
+        self._recent_prefixes.record(run.request.parts, now)
 
-    def closed_ms(self, waiting: waiting_line.Waiting, now: float) -> float:
+    def closed_ms(self, waiting: wait_queue.WaitingRequest, now: float) -> float:
         """Return how long no upstream takes a request by what they ask for, in milliseconds."""
-        if self.gate.is_idle:
+        if self.gate.is_unrestricted:
             return 0.0
         return self.gate.closed_ms(waiting, self._allowed(waiting.request), now)
 
-    def has_tight(self) -> bool:
+    def has_tight_stream(self) -> bool:
         """Return whether streams run that reading beside them makes late.
 
         Only for their sake long prompts are held: where none can be harmed, an engine that always
         has the next prompt at hand reads most.
         """
-        tight_ms = self.reading().tight_ms
-        return any(load.has_tight(tight_ms) for load in self.present)
+        tight_gap_ms = self.prefill_model().tight_gap_ms
+        return any(load.has_tight_stream(tight_gap_ms) for load in self.present)
 
-    def reading(self) -> placement_cost.Reading:
+    def prefill_model(self) -> placement_cost.PrefillModel:
         """Return how the engines read prompts and produce events."""
-        return placement_cost.Reading(
-            self.rate.tokens_per_ms,
-            self.rate.pause_ms(self.event_tokens),
-            self.event_tokens * self.rate.step_ms,
+        return placement_cost.PrefillModel(
+            self.estimator.tokens_per_ms,
+            self.estimator.max_gap_ms(self.event_tokens),
+            self.event_tokens * self.estimator.step_ms,
         )
 
-    def least_read_ms(self, request: placement_messages.PlaceRequest) -> float:
+    def min_prefill_ms(self, request: placement_messages.PlaceRequest) -> float:
         """Return how long reading takes on the engine that holds most of the prompt."""
         tokens = min(
             (load.cache.uncached_tokens(request.parts) for load in self.present),
             default=sum(part.tokens for part in request.parts),
         )
-        return tokens / self.rate.tokens_per_ms
+        return tokens / self.estimator.tokens_per_ms
 
-    def _holder(
+    def _prefix_source(
         self, request: placement_messages.PlaceRequest, now: float
-    ) -> placement_cost.Holder:
+    ) -> placement_cost.PrefixSource:
         """Return the engine in order that holds most of a prompt, if others can fetch from it."""
         if not self._fetch_ms_per_token or len(request.parts) < 2:
-            return placement_cost.Holder()
-        best = placement_cost.Holder()
+            return placement_cost.PrefixSource()
+        best = placement_cost.PrefixSource()
         for load in self.present:
-            tokens = load.readable_tokens(request.parts)
-            if tokens > best.tokens and not load.is_pausing(now):
+            tokens = load.fetchable_tokens(request.parts)
+            if tokens > best.tokens and not load.is_backing_off(now):
                 address = load.announcement.address
-                best = placement_cost.Holder(address, tokens, self._fetch_ms_per_token)
+                best = placement_cost.PrefixSource(address, tokens, self._fetch_ms_per_token)
         return best
 
     def _candidates(
-        self, waiting: waiting_line.Waiting, now: float
+        self, waiting: wait_queue.WaitingRequest, now: float
     ) -> list[upstream_load.UpstreamLoad]:
         """Return the upstreams with a free slot; those that failed lately only if all did.
 
@@ -164,7 +164,7 @@
         """
         tokens = waiting.request.memory_tokens
         allowed = self._allowed(waiting.request)
-        sound = [load for load in allowed if not load.is_pausing(now)]
+        sound = [load for load in allowed if not load.is_backing_off(now)]
         return [
             load
             for load in sound or allowed
--- a/src/medlarfork/placement/upstream_load.py
+++ b/src/medlarfork/placement/upstream_load.py
@@ -6,12 +6,12 @@
 import math
 
 from medlarfork.coordination import upstream_types
-from medlarfork.placement import placement_messages, prompt_cache, step_window
+from medlarfork.placement import placement_messages, prefix_cache, step_window
 
-FIRST_PAUSE_S = 0.5
+INITIAL_BACKOFF_S = 0.5
 """Pause after a first failure before an upstream is tried again, in seconds."""
 
-LONGEST_PAUSE_S = 8.0
+MAX_BACKOFF_S = 8.0
 """Longest such pause, in seconds; pauses double with each failure in a row."""
 
 STUCK_S = 0.4
@@ -21,11 +21,11 @@
 STUCK_FACTOR = 3.0
 """The same as a multiple of the reading's own time, for engines that read several at once."""
 
-LEAK_S = 2.0
+LOST_RUN_GRACE_S = 2.0
 """Time after a request's caller has given up at which its run counts as ended, in seconds: the
 report of its end was lost, and the slot would be taken forever."""
 
-KEEP_ABSENT_S = 15.0
+ABSENT_RETENTION_S = 15.0
 """How long an upstream that is not there is remembered, in seconds: longer than one that runs is
 not heard of in a cut, with the time that replicas take to hear of it again."""
 
@@ -33,7 +33,7 @@
 """Share of an engine's memory that running requests may fill. Beyond it the engine stops some of
 them and reads them again later; the rest covers answers that are longer than announced."""
 
-FAILURE_MEMORY = 0.12
+FAILURE_WEIGHT = 0.12
 """Weight of the latest end in the share of failures: about the last eight runs count."""
 
 
@@ -44,25 +44,25 @@
     Attributes:
         entry_id: The entry host that sent it.
         request: What was asked.
-        read_tokens: Prompt tokens that the upstream has to read.
-        read_ms: How long that takes, in milliseconds.
-        is_telling: Whether its first event tells the rate: no other reading was under way when it
+        prefill_tokens: Prompt tokens that the upstream has to read.
+        prefill_ms: How long that takes, in milliseconds.
+        is_rate_sample: Whether its first event tells the rate: no other reading was under way when it
             was placed, and nothing was fetched.
         has_begun: Whether its first event came.
-        new_parts: Parts of its prompt that the upstream held only once it had read them for it.
-        until: When its caller gives up, in seconds.
-        most_beside_ms: The most reading that was ahead at one time while it produced events.
+        uncached_segments: Parts of its prompt that the upstream held only once it had read them for it.
+        deadline: When its caller gives up, in seconds.
+        max_concurrent_prefill_ms: The most reading that was ahead at one time while it produced events.
     """
 
     entry_id: str
     request: placement_messages.PlaceRequest
-    read_tokens: int
-    read_ms: float
-    is_telling: bool
+    prefill_tokens: int
+    prefill_ms: float
+    is_rate_sample: bool
     has_begun: bool = False
-    new_parts: frozenset[str] = frozenset()
-    until: float = math.inf
-    most_beside_ms: float = 0.0
+    uncached_segments: frozenset[str] = frozenset()
+    deadline: float = math.inf
+    max_concurrent_prefill_ms: float = 0.0
 
     @property
     def memory_tokens(self) -> int:
@@ -85,7 +85,7 @@
     def __init__(self, announcement: upstream_types.Announcement, memory_tokens: int) -> None:
         """Start with an upstream that nothing was placed on."""
         self.announcement = announcement
-        self.cache = prompt_cache.PromptCache(memory_tokens)
+        self.cache = prefix_cache.PrefixCache(memory_tokens)
         self.steps = step_window.StepWindow()
         self.run_by_ticket: dict[str, Run] = {}
         self.is_present = True
@@ -93,26 +93,26 @@
         self._memory_tokens = memory_tokens
         self._running_tokens = 0
         self.streams_by_gap_ms: dict[float, int] = {}
-        self._unread_by_ticket: dict[str, Run] = {}
-        self._reading_since = 0.0
-        self._rest_until = 0.0
-        self.failed_share = 0.0
+        self._prefilling_by_ticket: dict[str, Run] = {}
+        self._prefill_since = 0.0
+        self._cooldown_until = 0.0
+        self.failure_rate = 0.0
         self._failures_in_a_row = 0
-        self._pause_until = 0.0
-        self._is_on_trial = False
-        self._trial_ticket = ""
+        self._backoff_until = 0.0
+        self._is_probing = False
+        self._probe_ticket = ""
 
     @property
     def is_full(self) -> bool:
         """Return whether it gets no further request: all slots are taken, or one tries it."""
-        if self._is_on_trial and self._trial_ticket in self.run_by_ticket:
+        if self._is_probing and self._probe_ticket in self.run_by_ticket:
             return True
         return len(self.run_by_ticket) >= self.announcement.slots
 
-    def use_memory(self, memory_tokens: int) -> None:
+    def set_memory(self, memory_tokens: int) -> None:
         """Take another size of the engine's memory."""
         self._memory_tokens = memory_tokens
-        self.cache.use_memory(memory_tokens)
+        self.cache.set_memory(memory_tokens)
 
     def has_memory_for(self, tokens: int) -> bool:
         """Return whether a request with so many tokens fits beside those that run there.
@@ -126,7 +126,9 @@
     def end_overdue(self, now: float) -> tuple[str, ...]:
         """Take off the runs whose end was never reported; return their tickets."""
         overdue = tuple(
-            ticket_id for ticket_id, run in self.run_by_ticket.items() if now > run.until + LEAK_S
+            ticket_id
+            for ticket_id, run in self.run_by_ticket.items()
+            if now > run.deadline + LOST_RUN_GRACE_S
         )
         for ticket_id in overdue:
             self.end(ticket_id, placement_messages.RunEnd.CANCELLED, now)
@@ -138,28 +140,28 @@
             self._absent_since = math.inf
             return False
         self._absent_since = min(self._absent_since, now)
-        return not self.run_by_ticket and now - self._absent_since > KEEP_ABSENT_S
+        return not self.run_by_ticket and now - self._absent_since > ABSENT_RETENTION_S
 
-    def is_pausing(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Return whether it failed lately, or seems to stand still, and is given time."""
-        return now < self._pause_until or self._is_stuck(now)
+        return now < self._backoff_until or self._is_stuck(now)
 
     def _is_stuck(self, now: float) -> bool:
         """Return whether the prompt that is being read is far behind its time."""
-        if not self._unread_by_ticket:
+        if not self._prefilling_by_ticket:
             return False
-        first = next(iter(self._unread_by_ticket.values()))
-        allowed_s = STUCK_S + STUCK_FACTOR * first.read_ms / 1000.0
-        return now - self._reading_since > allowed_s
+        first = next(iter(self._prefilling_by_ticket.values()))
+        allowed_s = STUCK_S + STUCK_FACTOR * first.prefill_ms / 1000.0
+        return now - self._prefill_since > allowed_s
 
-    def has_tight(self, tight_ms: float) -> bool:
-        """Return whether a stream runs there that allows no pause above ``tight_ms``."""
-        return any(gap_ms <= tight_ms for gap_ms in self.streams_by_gap_ms)
+    def has_tight_stream(self, tight_gap_ms: float) -> bool:
+        """Return whether a stream runs there that allows no pause above ``tight_gap_ms``."""
+        return any(gap_ms <= tight_gap_ms for gap_ms in self.streams_by_gap_ms)
 
-    def tight_streams(self, tight_ms: float) -> int:
-        """Return how many streams run there that allow no pause above ``tight_ms``."""
+    def tight_stream_count(self, tight_gap_ms: float) -> int:
+        """Return how many streams run there that allow no pause above ``tight_gap_ms``."""
         streams = self.streams_by_gap_ms.items()
-        return sum(count for gap_ms, count in streams if gap_ms <= tight_ms)
+        return sum(count for gap_ms, count in streams if gap_ms <= tight_gap_ms)
 
     def backlog_ms(self, now: float) -> float:
         """Return how much reading is ahead there, by the runs whose first event has not come.
@@ -167,63 +169,67 @@
         Of the prompt that is being read, no more than its own time is taken off however long ago
         it began: an upstream that is slow, or stands still, is not thought to be free.
         """
-        if not self._unread_by_ticket:
+        if not self._prefilling_by_ticket:
             return 0.0
-        unread = iter(self._unread_by_ticket.values())
-        first_ms = next(unread).read_ms
-        left_ms = max(0.0, first_ms - (now - self._reading_since) * 1000.0)
-        return left_ms + sum(run.read_ms for run in unread)
+        unread = iter(self._prefilling_by_ticket.values())
+        first_ms = next(unread).prefill_ms
+        left_ms = max(0.0, first_ms - (now - self._prefill_since) * 1000.0)
+        return left_ms + sum(run.prefill_ms for run in unread)
 
-    def beside_ms(self, now: float) -> float:
+    def concurrent_prefill_ms(self, now: float) -> float:
         """Return how much reading one event of a stream there may hold before more is placed."""
-        return max(self.backlog_ms(now), self.steps.beside_ms(now))
+        return max(self.backlog_ms(now), self.steps.concurrent_prefill_ms(now))
 
-    def rest_ms(self, now: float) -> float:
+    def cooldown_ms(self, now: float) -> float:
         """Return for how long the streams there are to be left without long reading."""
-        return max(0.0, self._rest_until - now) * 1000.0
+        return max(0.0, self._cooldown_until - now) * 1000.0
 
     def add(self, run: Run, now: float) -> None:
         """Place a run."""
         self.run_by_ticket[run.request.ticket_id] = run
-        self._trial_ticket = run.request.ticket_id
+        self._probe_ticket = run.request.ticket_id
         self._running_tokens += run.memory_tokens
         self._count_stream(run, 1)
-        if not run.has_begun and run.read_ms > 0:
-            if not self._unread_by_ticket:
-                self._reading_since = now
-            self._unread_by_ticket[run.request.ticket_id] = run
-            run.new_parts = self.cache.missing_parts(run.request.parts)
-            self._note_beside(now)
-            self.steps.add(run.read_ms, now)
+        if not run.has_begun and run.prefill_ms > 0:
+            if not self._prefilling_by_ticket:
+                self._prefill_since = now
+            self._prefilling_by_ticket[run.request.ticket_id] = run
+            run.uncached_segments = self.cache.uncached_segments(run.request.parts)
+            self._update_concurrent_prefill(now)
+            self.steps.add(run.prefill_ms, now)
         self.cache.add(run.request.parts)
 
-    def readable_tokens(self, parts: tuple[placement_messages.PromptPart, ...]) -> int:
+    def fetchable_tokens(self, parts: tuple[placement_messages.PromptSegment, ...]) -> int:
         """Return how much of a prompt others can fetch there now: what was read to its end."""
-        cached = self.cache.cached_parts(parts)
+        cached = self.cache.cached_segments(parts)
         if not cached:
             return 0
-        unread = [run.new_parts for run in self._unread_by_ticket.values() if run.new_parts]
+        unread = [
+            run.uncached_segments
+            for run in self._prefilling_by_ticket.values()
+            if run.uncached_segments
+        ]
         tokens = 0
         for part in cached:
-            if any(part.part_id in new_parts for new_parts in unread):
+            if any(part.part_id in uncached_segments for uncached_segments in unread):
                 break
             tokens += part.tokens
         return tokens
 
-    def begin(self, ticket_id: str, rest_ms: float, now: float) -> Run | None:
+    def record_first_event(self, ticket_id: str, cooldown_ms: float, now: float) -> Run | None:
         """Note a run's first event; return the run if it is its first one."""
         run = self.run_by_ticket.get(ticket_id)
         if run is None or run.has_begun:
             return None
         run.has_begun = True
-        self._is_on_trial = False
-        self._stop_reading(ticket_id, now)
-        self._rest_until = max(self._rest_until, now + rest_ms / 1000.0)
+        self._is_probing = False
+        self._end_prefill(ticket_id, now)
+        self._cooldown_until = max(self._cooldown_until, now + cooldown_ms / 1000.0)
         return run
 
-    def _stop_reading(self, ticket_id: str, now: float) -> None:
-        if self._unread_by_ticket.pop(ticket_id, None) is not None:
-            self._reading_since = now
+    def _end_prefill(self, ticket_id: str, now: float) -> None:
+        if self._prefilling_by_ticket.pop(ticket_id, None) is not None:
+            self._prefill_since = now
 
     def end(self, ticket_id: str, end: placement_messages.RunEnd, now: float) -> Run | None:
         """Take a run off, and judge the upstream by how it ended; return it if it ran there."""
@@ -232,35 +238,35 @@
             return None
         self._running_tokens -= run.memory_tokens
         self._count_stream(run, -1)
-        self._stop_reading(ticket_id, now)
+        self._end_prefill(ticket_id, now)
         match end:
             case placement_messages.RunEnd.COMPLETE:
-                self._is_on_trial = False
+                self._is_probing = False
                 self._failures_in_a_row = 0
-                self.failed_share -= FAILURE_MEMORY * self.failed_share
+                self.failure_rate -= FAILURE_WEIGHT * self.failure_rate
             case placement_messages.RunEnd.FAILED:
-                self.failed_share += FAILURE_MEMORY * (1.0 - self.failed_share)
+                self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate)
                 self._failures_in_a_row += 1
                 if self._failures_in_a_row >= 3:
-                    self._pause(now)
+                    self._back_off(now)
             case placement_messages.RunEnd.BROKEN:
                 # Each entry host has connections to an upstream that crashed, and loses a request
                 # with each that it uses: 95 of a day with upstreams that crash by turns.
-                self.failed_share += FAILURE_MEMORY * (1.0 - self.failed_share)
-                self._distrust(now, pauses=self._failures_in_a_row > 0)
+                self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate)
+                self._start_probe(now, backs_off=self._failures_in_a_row > 0)
             case placement_messages.RunEnd.UNREACHABLE:
                 self.cache.clear()
-                self._distrust(now, pauses=True)
+                self._start_probe(now, backs_off=True)
             case placement_messages.RunEnd.REJECTED:
-                self._pause_until = max(self._pause_until, now + FIRST_PAUSE_S / 2)
+                self._backoff_until = max(self._backoff_until, now + INITIAL_BACKOFF_S / 2)
         return run
 
-    def _note_beside(self, now: float) -> None:
+    def _update_concurrent_prefill(self, now: float) -> None:
         """Note for the streams there how much reading is ahead: it tells what their pauses hold."""
         backlog_ms = self.backlog_ms(now)
         for run in self.run_by_ticket.values():
-            if run.has_begun and run.most_beside_ms < backlog_ms:
-                run.most_beside_ms = backlog_ms
+            if run.has_begun and run.max_concurrent_prefill_ms < backlog_ms:
+                run.max_concurrent_prefill_ms = backlog_ms
 
     def _count_stream(self, run: Run, change: int) -> None:
         """Keep the count by pauses: harm is reckoned for each upstream and each placement."""
@@ -272,7 +278,7 @@
         if not count:
             del self.streams_by_gap_ms[gap_ms]
 
-    def _distrust(self, now: float, *, pauses: bool) -> None:
+    def _start_probe(self, now: float, *, backs_off: bool) -> None:
         """Try an upstream that lost a connection with one request before others follow.
 
         What waited during a pause would all be sent there when it ends, and be lost together. A
@@ -280,11 +286,11 @@
         a second each, pauses of half a second would take a fifteenth of the upstreams away.
         """
         self._failures_in_a_row += 1
-        self._is_on_trial = True
-        self._trial_ticket = ""
-        if pauses:
-            self._pause(now)
-
-    def _pause(self, now: float) -> None:
-        pause_s = FIRST_PAUSE_S * 2.0 ** (self._failures_in_a_row - 1)
-        self._pause_until = now + min(pause_s, LONGEST_PAUSE_S)
+        self._is_probing = True
+        self._probe_ticket = ""
+        if backs_off:
+            self._back_off(now)
+
+    def _back_off(self, now: float) -> None:
+        pause_s = INITIAL_BACKOFF_S * 2.0 ** (self._failures_in_a_row - 1)
+        self._backoff_until = now + min(pause_s, MAX_BACKOFF_S)
--- a/src/medlarfork/placement/wait_forecast.py
+++ b/src/medlarfork/placement/wait_forecast.py
@@ -8,28 +8,33 @@
 
 import math
 
-from medlarfork.placement import drain_rate, start_rules, waiting_line
+from medlarfork.placement import admission_policy, drain_rate, wait_queue
 
 
 class WaitForecast:
     """Measure how fast those that wait are started, and divide what waits by it."""
 
-    def __init__(self, line: waiting_line.WaitingLine) -> None:
-        """Start with nothing measured; ``line`` holds the requests that wait."""
-        self._line = line
+    def __init__(self, queue: wait_queue.WaitQueue) -> None:
+        """Start with nothing measured; ``queue`` holds the requests that wait."""
+        self._queue = queue
         self._drain = drain_rate.DrainRate()
         self._waits_since = math.inf
 
-    def note_first_waits(self, now: float) -> None:
+    def record_queue_start(self, now: float) -> None:
         """Note that a request waits where none did."""
         self._waits_since = now
 
-    def note_start(self, read_ms: float, now: float) -> None:
+    def record_start(self, prefill_ms: float, now: float) -> None:
         """Count the reading of a request that starts, in milliseconds."""
-        self._drain.note(read_ms, now)
+        self._drain.record_start(prefill_ms, now)
 
     def wait_ms(
-        self, waiting: waiting_line.Waiting, *, engines_apart: int, backlog_ms: float, now: float
+        self,
+        waiting: wait_queue.WaitingRequest,
+        *,
+        unconstrained_engines: int,
+        backlog_ms: float,
+        now: float,
     ) -> float:
         """Return how long a request that comes now would wait, in milliseconds.
 
@@ -38,24 +43,24 @@
 
         Args:
             waiting: The request.
-            engines_apart: Engines without streams that reading makes late.
+            unconstrained_engines: Engines without streams that reading makes late.
             backlog_ms: The least reading ahead at an engine.
             now: The time in seconds.
         """
-        drained = self._drained_per_ms(engines_apart, now)
-        before_ms = self._line.reading_before_ms(waiting, now)
+        drained = self._drained_per_ms(unconstrained_engines, now)
+        before_ms = self._queue.prefill_ms_before(waiting, now)
         wait_ms = before_ms / drained + backlog_ms
-        if wait_ms <= start_rules.HOPELESS_SHARE * waiting.request.target_ms:
+        if wait_ms <= admission_policy.HOPELESS_SHARE * waiting.request.target_ms:
             return wait_ms
-        return start_rules.OVERTAKEN_FACTOR * self._line.reading_ms / drained + backlog_ms
+        return admission_policy.OVERTAKEN_FACTOR * self._queue.prefill_ms / drained + backlog_ms
 
-    def _drained_per_ms(self, engines_apart: int, now: float) -> float:
+    def _drained_per_ms(self, unconstrained_engines: int, now: float) -> float:
         """Return how much reading of those that wait starts in a millisecond.
 
         Once some have waited for as long as is measured, it is what was seen: slots and the
         streams of others may hold it far below what the engines could read. Before, it is what
         engines without tight streams can read.
         """
-        if self._line and now - self._waits_since >= drain_rate.WINDOW_S:
+        if self._queue and now - self._waits_since >= drain_rate.WINDOW_S:
             return self._drain.per_ms(now)
-        return start_rules.READ_SHARE * max(engines_apart, 1)
+        return admission_policy.PREFILL_SHARE * max(unconstrained_engines, 1)
--- a/src/medlarfork/pool/_account_share.py
+++ b/src/medlarfork/pool/_account_limiter.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from medlarfork.declared import configuration
-from medlarfork.pool import _bucket
+from medlarfork.pool import _token_bucket
 
 _MIN_BURST = 1.0
 """Requests that a bucket admits at once, however low its rate."""
@@ -15,7 +15,7 @@
 _UNLIMITED = configuration.AccountLimits()
 
 
-class AccountShare:
+class AccountLimiter:
     """Admit tickets within their account's limits, divided over the service's pools."""
 
     def __init__(self) -> None:
@@ -23,8 +23,8 @@
         self._account_by_name: dict[str, configuration.Account] = {}
         self._shards = 1
         self._outstanding_by_account: dict[str, int] = {}
-        self._requests_by_account: dict[str, _bucket.Bucket] = {}
-        self._tokens_by_account: dict[str, _bucket.Bucket] = {}
+        self._requests_by_account: dict[str, _token_bucket.TokenBucket] = {}
+        self._tokens_by_account: dict[str, _token_bucket.TokenBucket] = {}
 
     def configure(self, accounts: Iterable[configuration.Account], shards: int, now: float) -> None:
         """Put accounts in force; buckets whose rate is unchanged keep their level."""
@@ -40,7 +40,7 @@
             for name, (per_s, burst) in rates.items():
                 kept = buckets.get(name)
                 if kept is None or kept.per_s != per_s:
-                    buckets[name] = _bucket.Bucket(per_s, burst, now)
+                    buckets[name] = _token_bucket.TokenBucket(per_s, burst, now)
 
     def weight(self, account: str) -> float:
         """Return the account's share among accounts of a tier."""
--- a/src/medlarfork/pool/_crash_guard.py
+++ b/src/medlarfork/pool/_crash_guard.py
@@ -51,7 +51,7 @@
         standing = self._ledger.standing(key, now)
         match standing.verdict:
             case crash_ledger.Verdict.HELD:
-                return min(standing.trial_in_s, crash_ledger.CASE_S)
+                return min(standing.trial_in_s, crash_ledger.CASE_RETENTION_S)
             case crash_ledger.Verdict.TRIAL:
                 if is_open(self._trial_by_key.get(key, "")):
                     return BUSY_RETRY_S
@@ -74,10 +74,10 @@
             del self._trial_by_key[key]
         match cause:
             case ticket.ReleaseCause.FINISHED:
-                self._ledger.note_survival(key, now, now)
+                self._ledger.record_completion(key, now, now)
             case ticket.ReleaseCause.BROKEN:
                 end_id = f"{upstream_id}@{incarnation}"
-                if self._ledger.note_end(key, end_id, now, now):
+                if self._ledger.record_crash(key, end_id, now, now):
                     breaks = self._breaks_by_upstream.setdefault(upstream_id, [])
                     breaks.append(_Break(key, end_id, now))
 
@@ -91,7 +91,7 @@
             if heard_at <= item.at + AFTERWARDS_S:
                 undecided.append(item)
             else:
-                self._ledger.withdraw_end(item.key, item.end_id)
+                self._ledger.withdraw_crash(item.key, item.end_id)
         if undecided:
             self._breaks_by_upstream[upstream_id] = undecided
 
--- a/src/medlarfork/pool/_stall.py
+++ b/src/medlarfork/pool/_failover.py
@@ -18,7 +18,7 @@
 """Moved requests remembered; the oldest go first."""
 
 
-class Stall:
+class Failover:
     """Judge which upstreams are lost and remember which of them a moved request came from.
 
     Only repeatable tickets are asked for; the slot stays taken until its holder releases it.
--- a/src/medlarfork/pool/_starter.py
+++ b/src/medlarfork/pool/_granter.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from medlarfork import ticket
-from medlarfork.pool import _pool_parts, _pool_ticket, _timers, pool_options
+from medlarfork.pool import _pool_state, _pool_ticket, _timers, pool_options
 
 _MAX_ASIDE = 4
 """Tickets set aside at once because only upstreams that they avoid are free."""
 
 
-class Starter:
+class Granter:
     """Turn free slots into grants."""
 
     def __init__(
-        self, pool: str, options: pool_options.PoolOptions, parts: _pool_parts.PoolParts
+        self, pool: str, options: pool_options.PoolOptions, parts: _pool_state.PoolState
     ) -> None:
         """Create the starter of a pool."""
         self._pool = pool
--- a/src/medlarfork/pool/_preemption.py
+++ b/src/medlarfork/pool/_preemption.py
@@ -8,7 +8,7 @@
 import math
 from collections.abc import Callable
 
-from medlarfork.pool import _bucket, _pool_ticket, pool_options
+from medlarfork.pool import _pool_ticket, _token_bucket, pool_options
 
 _ASK_AGAIN_S = 1.0
 """How long an unanswered preemption counts as a slot about to be freed, in seconds."""
@@ -31,7 +31,7 @@
     def __init__(self, options: pool_options.PoolOptions) -> None:
         """Create an empty set."""
         self._options = options
-        self._bucket: _bucket.Bucket | None = None
+        self._bucket: _token_bucket.TokenBucket | None = None
         self._heap_by_tier: dict[int, list[_Candidate]] = {}
         self._number = itertools.count()
         self._asked: collections.OrderedDict[str, _pool_ticket.RunningTicket]
@@ -100,7 +100,7 @@
         """
         if self._bucket is None or self._bucket.burst != slots:
             rate = self._options.preempt_per_slot_s * slots
-            self._bucket = _bucket.Bucket(rate, slots, now)
+            self._bucket = _token_bucket.TokenBucket(rate, slots, now)
         if self._bucket.wait_s(now, 1.0) > 0:
             return None
         for tier in sorted(self._heap_by_tier, reverse=True):
--- a/src/medlarfork/pool/_drain_rate.py
+++ b/src/medlarfork/pool/_rate_meter.py
@@ -5,7 +5,7 @@
 import math
 
 
-class DrainRate:
+class RateMeter:
     """Count events with exponential forgetting; constant memory."""
 
     __slots__ = ("_count", "_first", "_last", "_window_s")
--- a/src/medlarfork/pool/_reserve.py
+++ b/src/medlarfork/pool/_reserve.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Mapping
 
-from medlarfork.pool import _drain_rate
+from medlarfork.pool import _rate_meter
 
 _FAST_S = 2.0
 """Window that notices a burst, in seconds."""
@@ -43,7 +43,7 @@
         """Create an estimate; see ``PoolOptions`` for both numbers."""
         self._deviations = deviations
         self._max_share = max_share
-        self._rates_by_tier: dict[int, tuple[_drain_rate.DrainRate, _drain_rate.DrainRate]] = {}
+        self._rates_by_tier: dict[int, tuple[_rate_meter.RateMeter, _rate_meter.RateMeter]] = {}
         self._slot_by_tier: dict[int, _Mean] = {}
         self._slack_by_tier: dict[int, _Mean] = {}
 
@@ -51,7 +51,7 @@
         """Count an arrival that can wait for ``slack_s`` and still meet its target."""
         rates = self._rates_by_tier.get(tier)
         if rates is None:
-            rates = (_drain_rate.DrainRate(_FAST_S), _drain_rate.DrainRate(_SLOW_S))
+            rates = (_rate_meter.RateMeter(_FAST_S), _rate_meter.RateMeter(_SLOW_S))
             self._rates_by_tier[tier] = rates
         for rate in rates:
             rate.add(now)
--- a/src/medlarfork/pool/_length_estimate.py
+++ b/src/medlarfork/pool/_service_time.py
@@ -41,7 +41,7 @@
         return self._sorted[min(len(self._sorted) - 1, int(share * len(self._sorted)))]
 
 
-class LengthEstimate:
+class ServiceTimeEstimate:
     """Estimate service times; with too few samples it says so instead of guessing."""
 
     def __init__(self) -> None:
--- a/src/medlarfork/pool/_bucket.py
+++ b/src/medlarfork/pool/_token_bucket.py
@@ -5,7 +5,7 @@
 import math
 
 
-class Bucket:
+class TokenBucket:
     """Refill at a rate up to a burst; may be overdrawn."""
 
     def __init__(self, per_s: float, burst: float, now: float) -> None:
--- a/src/medlarfork/pool/_outlook.py
+++ b/src/medlarfork/pool/_wait_forecast.py
@@ -6,7 +6,7 @@
 import random
 
 from medlarfork import ticket
-from medlarfork.pool import _drain_rate, _length_estimate, _pool_ticket, pool_options
+from medlarfork.pool import _pool_ticket, _rate_meter, _service_time, pool_options
 
 _HOPELESS = 0.5
 """Share of requests that are shorter than the time which a hopeless ticket still has."""
@@ -28,17 +28,17 @@
 """Share by which retry times are spread, so that refused callers don't return together."""
 
 
-class Outlook:
+class WaitForecast:
     """Measure service times and drain rates, and judge tickets by them."""
 
     def __init__(self, options: pool_options.PoolOptions, generator: random.Random) -> None:
         """Create an outlook that knows nothing."""
         self._options = options
         self._random = generator
-        self._lengths = _length_estimate.LengthEstimate()
-        self._drained = _drain_rate.DrainRate(_FAST_S)
-        self._drained_by_tier: dict[int, tuple[_drain_rate.DrainRate, ...]] = {}
-        self._freed = _drain_rate.DrainRate(_FREED_S)
+        self._lengths = _service_time.ServiceTimeEstimate()
+        self._drained = _rate_meter.RateMeter(_FAST_S)
+        self._drained_by_tier: dict[int, tuple[_rate_meter.RateMeter, ...]] = {}
+        self._freed = _rate_meter.RateMeter(_FREED_S)
 
     def released(self, item: ticket.Ticket, release: ticket.Release, now: float) -> None:
         """Count a freed slot and learn from a whole answer's time."""
@@ -47,7 +47,7 @@
             return
         rates = self._drained_by_tier.get(item.tier)
         if rates is None:
-            rates = (_drain_rate.DrainRate(_FAST_S), _drain_rate.DrainRate(_SLOW_S))
+            rates = (_rate_meter.RateMeter(_FAST_S), _rate_meter.RateMeter(_SLOW_S))
             self._drained_by_tier[item.tier] = rates
         for rate in (self._drained, *rates):
             rate.add(now)
@@ -95,11 +95,11 @@
         if self._options.shed_hopeless:
             entry.hopeless_at -= median_s
         match self._options.order:
-            case pool_options.Order.ARRIVAL:
+            case pool_options.TicketOrder.ARRIVAL:
                 entry.order_key = entry.arrived
-            case pool_options.Order.TARGET:
+            case pool_options.TicketOrder.TARGET:
                 entry.order_key = min(entry.target_at, entry.expires_at)
-            case pool_options.Order.LAXITY:
+            case pool_options.TicketOrder.LAXITY:
                 entry.order_key = min(entry.latest_start, entry.expires_at)
 
     def is_hopeless(self, entry: _pool_ticket.QueuedTicket, queued: int, now: float) -> bool:
--- a/src/medlarfork/pool/ownership.py
+++ b/src/medlarfork/pool/ownership.py
@@ -5,10 +5,10 @@
 from medlarfork import member, rendezvous
 from medlarfork.declared import configuration
 
-ASKED = 3
+RANKED_HOSTS = 3
 """How many entry hosts are asked for a pool, one after the other."""
 
-SERVED = 2
+SERVING_HOSTS = 2
 """How many of them, the owner and its standby, hear announcements and accept tickets."""
 
 
@@ -59,7 +59,7 @@
             return ()
         owners = self._owners_by_pool.get(pool)
         if owners is None:
-            owners = rendezvous.rank(pool, self._contenders(pool))[:ASKED]
+            owners = rendezvous.rank(pool, self._contenders(pool))[:RANKED_HOSTS]
             self._owners_by_pool[pool] = owners
         return owners
 
@@ -73,9 +73,9 @@
             return before | self._joined
         return self._candidates
 
-    def hearers(self, pool: str) -> tuple[str, ...]:
+    def serving_hosts(self, pool: str) -> tuple[str, ...]:
         """Return the owner and the standby of a pool."""
-        return self.owners(pool)[:SERVED]
+        return self.owners(pool)[:SERVING_HOSTS]
 
     def owns(self, pool: str) -> bool:
         """Return whether the asking host is the pool's owner."""
@@ -83,7 +83,7 @@
 
     def serves(self, pool: str) -> bool:
         """Return whether the asking host accepts tickets of the pool, as owner or standby."""
-        return self._entry_id in self.hearers(pool)
+        return self._entry_id in self.serving_hosts(pool)
 
 
 def pool_name(service: str, shard: int) -> str:
@@ -91,7 +91,7 @@
     return f"{service}/{shard}"
 
 
-def shard_pool(service: configuration.Service, upstream_id: str) -> str:
+def pool_of_upstream(service: configuration.Service, upstream_id: str) -> str:
     """Return the pool of the service that an upstream belongs to."""
     return pool_name(service.name, rendezvous.shard(upstream_id, service.shards))
 
--- a/src/medlarfork/pool/pool.py
+++ b/src/medlarfork/pool/pool.py
@@ -9,9 +9,9 @@
 from medlarfork import node, ticket, upstream
 from medlarfork.pool import (
     _finished_tickets,
-    _pool_parts,
+    _granter,
+    _pool_state,
     _pool_ticket,
-    _starter,
     _timers,
     pool_events,
     pool_options,
@@ -49,7 +49,7 @@
         self.name = name
         self.entry_id = entry_id
         self._options = options
-        self._parts = parts = _pool_parts.PoolParts(options, random)
+        self._parts = parts = _pool_state.PoolState(options, random)
         self._queues = parts.queues
         self._running = parts.running
         self._upstreams = parts.upstreams
@@ -58,7 +58,7 @@
         self._timers = parts.timers
         self._preemption = parts.preemption
         self._finished = _finished_tickets.FinishedTickets()
-        self._starter = _starter.Starter(name, options, parts)
+        self._starter = _granter.Granter(name, options, parts)
         self._housekeep_at = -math.inf
         self._wake_at = -math.inf
         self._arrived: _pool_ticket.QueuedTicket | None = None
--- a/src/medlarfork/pool/pool_options.py
+++ b/src/medlarfork/pool/pool_options.py
@@ -6,7 +6,7 @@
 import enum
 
 
-class Order(enum.StrEnum):
+class TicketOrder(enum.StrEnum):
     """Say in which order one account's tickets of a tier start."""
 
     ARRIVAL = "arrival"
@@ -51,7 +51,7 @@
     """
 
     max_queued: int = 20_000
-    order: Order = Order.TARGET
+    order: TicketOrder = TicketOrder.TARGET
     charge_time: bool = True
     floors: bool = True
     late_last: bool = True
@@ -80,10 +80,10 @@
     release_grace_s: float = 5.0
 
 
-PLAIN = PoolOptions(
+NON_ADAPTIVE = PoolOptions(
     charge_time=False,
     floors=False,
-    order=Order.ARRIVAL,
+    order=TicketOrder.ARRIVAL,
     late_last=False,
     withhold=False,
     preempt=False,
--- a/src/medlarfork/quarantine/crash_ledger.py
+++ b/src/medlarfork/quarantine/crash_ledger.py
@@ -20,36 +20,36 @@
 from medlarfork.placement import placement_messages
 from medlarfork.quarantine import crash_messages
 
-SUSPECT_ENDS = 2
+SUSPECT_CRASHES = 2
 """Ends from which a request runs one at a time, on the upstream where least runs beside it. One end
 is what each of some twenty neighbours of a crash has; a second one, with no answer in between, is
 rare among them."""
 
-HELD_ENDS = 3
+HELD_CRASHES = 3
 """Ends from which it is refused, but for rare trials: what callers and operators were promised."""
 
-TRIAL_AFTER_S = (30.0, 300.0)
+TRIAL_DELAYS_S = (30.0, 300.0)
 """Pauses after the third and the fourth end before one more trial, in seconds: an innocent request
 is back once a wave of crashes is over, and a guilty one costs two upstreams more at most."""
 
-SHIELD_S = 10.0
+EXONERATION_S = 10.0
 """Time after a whole answer in which ends are put down to something else, in seconds: a third of
 the upstreams killed at once leaves several ends for a request that many callers send, while its
 next answer is seconds away. A request that ends upstreams only now and then is held so much
 later."""
 
-CASE_S = 3600.0
+CASE_RETENTION_S = 3600.0
 """How long a case is kept after its last end, in seconds: one that comes again after an hour costs
 three upstreams an hour."""
 
-MOST_CASES = 2000
+MAX_CASES = 2000
 """Cases kept at once, about 1 MB. Beyond, the client account with most of them loses its oldest, so
 that nobody who sends many such requests makes others' cases forgotten."""
 
 ACCOUNT_DIGITS = 6
 """Digits at the beginning of a key that its client account's requests share."""
 
-MOST_ENDS = 16
+MAX_CRASHES_PER_CASE = 16
 """Ends kept of one case: far more than any decision needs."""
 
 
@@ -81,7 +81,7 @@
 
 def refusal(ticket_id: str, standing: Standing) -> placement_messages.PlaceRefused:
     """Return the refusal of a request that is held."""
-    wait_s = min(standing.trial_in_s, CASE_S)
+    wait_s = min(standing.trial_in_s, CASE_RETENTION_S)
     why = f"{standing.ends} upstreams ended while they ran it"
     return placement_messages.PlaceRefused(ticket_id, wait_s * 1000.0, why)
 
@@ -117,38 +117,38 @@
     def standing(self, key: str, now: float) -> Standing:
         """Return whether a request may run."""
         case = self._case_by_key.get(key)
-        if case is None or len(case.end_at_by_upstream) < SUSPECT_ENDS:
+        if case is None or len(case.end_at_by_upstream) < SUSPECT_CRASHES:
             return _FREE
         count = len(case.end_at_by_upstream)
-        if count < HELD_ENDS:
+        if count < HELD_CRASHES:
             return Standing(Verdict.TRIAL, count)
-        trials = count - HELD_ENDS
-        if trials >= len(TRIAL_AFTER_S):
+        trials = count - HELD_CRASHES
+        if trials >= len(TRIAL_DELAYS_S):
             return Standing(Verdict.HELD, count, math.inf)
         last_at = max(case.end_at_by_upstream.values())
-        trial_in_s = max(0.0, last_at + TRIAL_AFTER_S[trials] - now)
+        trial_in_s = max(0.0, last_at + TRIAL_DELAYS_S[trials] - now)
         verdict = Verdict.HELD if trial_in_s > 0 else Verdict.TRIAL
         return Standing(verdict, count, trial_in_s)
 
-    def note_end(self, key: str, upstream_id: str, at: float, now: float) -> bool:
+    def record_crash(self, key: str, upstream_id: str, at: float, now: float) -> bool:
         """Note that an upstream ended under a request; return whether that is news."""
         case = self._case_by_key.get(key)
         if case is None:
             case = self._add(key, now)
-        is_old = upstream_id in case.end_at_by_upstream or at <= case.survived_at + SHIELD_S
-        if is_old or len(case.end_at_by_upstream) >= MOST_ENDS:
+        is_old = upstream_id in case.end_at_by_upstream or at <= case.survived_at + EXONERATION_S
+        if is_old or len(case.end_at_by_upstream) >= MAX_CRASHES_PER_CASE:
             return False
         case.end_at_by_upstream[upstream_id] = at
         case.changed_at = now
         return True
 
-    def withdraw_end(self, key: str, upstream_id: str) -> None:
+    def withdraw_crash(self, key: str, upstream_id: str) -> None:
         """Take back an end of an upstream that turned out to live on."""
         case = self._case_by_key.get(key)
         if case is not None:
             case.end_at_by_upstream.pop(upstream_id, None)
 
-    def note_survival(self, key: str, at: float, now: float) -> bool:
+    def record_completion(self, key: str, at: float, now: float) -> bool:
         """Note that an upstream answered a request whole; return whether that clears it of ends."""
         case = self._case_by_key.get(key)
         if case is None or at <= case.survived_at:
@@ -157,7 +157,7 @@
         cleared = [
             upstream_id
             for upstream_id, ended_at in case.end_at_by_upstream.items()
-            if ended_at <= at + SHIELD_S
+            if ended_at <= at + EXONERATION_S
         ]
         for upstream_id in cleared:
             del case.end_at_by_upstream[upstream_id]
@@ -173,9 +173,9 @@
             if told.survived_ago_s >= 0:
                 if told.key not in self._case_by_key:
                     self._add(told.key, now)
-                is_news = self.note_survival(told.key, now - told.survived_ago_s, now)
+                is_news = self.record_completion(told.key, now - told.survived_ago_s, now)
             for end in told.ends:
-                is_news |= self.note_end(told.key, end.upstream_id, now - end.ago_s, now)
+                is_news |= self.record_crash(told.key, end.upstream_id, now - end.ago_s, now)
             if is_news:
                 changed.append(told.key)
         return tuple(changed)
@@ -198,12 +198,12 @@
     def tidy(self, now: float) -> None:
         """Forget the cases that tell nothing any more."""
         for key, case in tuple(self._case_by_key.items()):
-            kept_s = CASE_S if case.end_at_by_upstream else SHIELD_S
+            kept_s = CASE_RETENTION_S if case.end_at_by_upstream else EXONERATION_S
             if max(case.last_at, case.changed_at) + kept_s < now:
                 del self._case_by_key[key]
 
     def _add(self, key: str, now: float) -> _Case:
-        if len(self._case_by_key) >= MOST_CASES:
+        if len(self._case_by_key) >= MAX_CASES:
             self._drop_one()
         case = _Case(now)
         self._case_by_key[key] = case
@@ -220,7 +220,7 @@
 def _told(key: str, case: _Case, now: float) -> crash_messages.CrashCase:
     survived_ago_s = -1.0 if case.survived_at == -math.inf else max(0.0, now - case.survived_at)
     ends = tuple(
-        crash_messages.UpstreamEnd(upstream_id, max(0.0, now - at))
+        crash_messages.UpstreamCrash(upstream_id, max(0.0, now - at))
         for upstream_id, at in case.end_at_by_upstream.items()
     )
     return crash_messages.CrashCase(key, ends, survived_ago_s)
--- a/src/medlarfork/quarantine/crash_messages.py
+++ b/src/medlarfork/quarantine/crash_messages.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UpstreamEnd:
+class UpstreamCrash:
     """Tell that an upstream ended while a request ran there.
 
     Attributes:
@@ -33,7 +33,7 @@
     """
 
     key: str
-    ends: tuple[UpstreamEnd, ...] = ()
+    ends: tuple[UpstreamCrash, ...] = ()
     survived_ago_s: float = -1.0
 
 
@@ -44,7 +44,7 @@
     cases: tuple[CrashCase, ...]
 
 
-RETELL_S = 2.0
+RESEND_WINDOW_S = 2.0
 """How long news are told again with each status, in seconds: a link that is being opened again
 loses what is sent meanwhile, and two periods or more fit into the time until all have to know."""
 
--- a/src/medlarfork/quarantine/request_key.py
+++ b/src/medlarfork/quarantine/request_key.py
@@ -29,9 +29,9 @@
     content = hashlib.blake2b(body, digest_size=CONTENT_BYTES)
     head = "\0".join(("", account, method, host.partition(":")[0].lower(), target))
     content.update(head.encode("utf-8", "surrogateescape"))
-    return account_mark(account) + content.hexdigest()
+    return account_prefix(account) + content.hexdigest()
 
 
-def account_mark(account: str) -> str:
+def account_prefix(account: str) -> str:
     """Return the part of names that all requests of a client account share."""
     return hashlib.blake2b(account.encode(), digest_size=ACCOUNT_BYTES).hexdigest()
--- a/src/medlarfork/quarantine/trial_desk.py
+++ b/src/medlarfork/quarantine/trial_manager.py
@@ -16,7 +16,7 @@
 """Time after a trial without a whole answer before the next, in seconds: its entry host looks
 meanwhile whether the upstream ended, and tells."""
 
-REPORT_S = 1.0
+REPORT_GRACE_S = 1.0
 """Time after the caller's deadline at which a trial counts as ended, in seconds: its entry host is
 lost, or its report."""
 
@@ -30,7 +30,7 @@
     until: float
 
 
-class TrialDesk:
+class TrialManager:
     """Decide on questions of placement that ask for a trial; the time is handed in."""
 
     def __init__(self, ledger: crash_ledger.CrashLedger) -> None:
@@ -39,7 +39,7 @@
         self._trial_by_key: dict[str, _Trial] = {}
         self._key_by_ticket: dict[str, str] = {}
 
-    def ask(
+    def request_trial(
         self, request: placement_messages.PlaceRequest, now: float
     ) -> placement_messages.PlaceRefused | None:
         """Grant the trial that a question asks for, or return why it may not run now."""
@@ -56,7 +56,7 @@
             return crash_ledger.refusal(request.ticket_id, standing)
         if running is not None:
             self._key_by_ticket.pop(running.ticket_id, None)
-        until = now + request.left_ms / 1000.0 + REPORT_S
+        until = now + request.left_ms / 1000.0 + REPORT_GRACE_S
         self._trial_by_key[key] = _Trial(request.ticket_id, until)
         self._key_by_ticket[request.ticket_id] = key
         return None
@@ -65,11 +65,11 @@
         """Take the end of a trial; other tickets are none of this desk's."""
         trial = self._trial_by_key.get(self._key_by_ticket.get(ticket_id, ""))
         if end in (placement_messages.RunEnd.COMPLETE, placement_messages.RunEnd.NOT_SENT):
-            self.withdraw(ticket_id)
+            self.release(ticket_id)
         elif trial is not None and trial.ticket_id == ticket_id:
             trial.until = now + SETTLE_S
 
-    def withdraw(self, ticket_id: str) -> None:
+    def release(self, ticket_id: str) -> None:
         """Let the next one run: this trial ended with an answer, or never ran."""
         key = self._key_by_ticket.pop(ticket_id, "")
         trial = self._trial_by_key.get(key)
--- a/src/medlarfork/request.py
+++ b/src/medlarfork/request.py
@@ -66,4 +66,4 @@
     @property
     def repeat_key(self) -> str:
         """Return what the caller's repeats share, by the account and the body with its target."""
-        return request_key.account_mark(self.account) + self.body_sha256
+        return request_key.account_prefix(self.account) + self.body_sha256
--- a/src/medlarfork/settings/planner_settings.py
+++ b/src/medlarfork/settings/planner_settings.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from medlarfork.orders import weight_store
+from medlarfork.orders import weight_load_scheduler
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
         drift: Largest difference of a clock's rate from true time, as a share.
     """
 
-    store: weight_store.StoreSettings
+    store: weight_load_scheduler.WeightStoreSettings
     max_order_s: float = 600.0
     answer_timeout_s: float = 540.0
     read_timeout_s: float = 5.0
--- a/tests/duties/conftest.py
+++ b/tests/duties/conftest.py
@@ -79,6 +79,6 @@
     """Return a maker of offered work: reading so far in milliseconds, and requests now."""
 
     def make(read_ms, requests=0):
-        return placement_messages.OfferedWork("engines", read_ms, requests)
+        return placement_messages.ServiceLoad("engines", read_ms, requests)
 
     return make
--- a/tests/duties/duty_world.py
+++ b/tests/duties/duty_cluster.py
@@ -33,17 +33,17 @@
         match message:
             case coordination_messages.ReplicaStatus():
                 if message.wall_s:
-                    self.clock.note(sender, message.wall_s, now)
+                    self.clock.add_sample(sender, message.wall_s, now)
                 if (message.term, bool(message.leader_id)) >= (self.term, True):
                     self.term, self.leader_id = message.term, message.leader_id
             case usage_messages.UsageReceipt():
                 self.counter.confirm(sender, message)
 
-    def note_begun(self, account, now):
-        self.counter.note_begun(account, self.clock.true_s(now, now))
+    def record_started(self, account, now):
+        self.counter.record_started(account, self.clock.fleet_time_s(now, now))
 
-    def told(self, now):
-        return self.counter.told(self.leader_id, self.clock.true_s(now, now))
+    def pending_report(self, now):
+        return self.counter.pending_report(self.leader_id, self.clock.fleet_time_s(now, now))
 
 
 class World(coordinator_cluster.Cluster):
@@ -79,7 +79,7 @@
     def begin(self, account, entry_id="e-0"):
         """Have a request begin to run."""
         self.begun += 1
-        self.entry_by_id[entry_id].note_begun(account, self.time)
+        self.entry_by_id[entry_id].record_started(account, self.time)
 
     def holder(self):
         """Return the replica that may act now."""
@@ -171,4 +171,6 @@
             for replica_id in tuple(self.host_by_id):
                 self.packets.append((entry.entry_id, replica_id, status))
             if entry.leader_id:
-                self.packets.append((entry.entry_id, entry.leader_id, entry.told(self.time)))
+                self.packets.append(
+                    (entry.entry_id, entry.leader_id, entry.pending_report(self.time))
+                )
--- a/tests/duties/platform_standin.py
+++ b/tests/duties/platform_standin.py
@@ -69,7 +69,7 @@
             case duty_types.ReportUsage(window, counts):
                 first = self.counts_by_window.setdefault(window, counts)
                 assert first == counts, f"two different reports of window {window}"
-            case duty_types.OrderEngines(service, zone, count, is_spot):
+            case duty_types.ScaleEngines(service, zone, count, is_spot):
                 if (zone, is_spot) in self.dry:
                     return CallEnd.REFUSED
                 self.count_by_group[service, zone, is_spot] = count
@@ -89,5 +89,5 @@
     match call:
         case duty_types.ReportUsage():
             return "usage"
-        case duty_types.OrderEngines(service, zone):
+        case duty_types.ScaleEngines(service, zone):
             return (service, zone)
--- a/tests/duties/test_duty_machine.py
+++ b/tests/duties/test_duty_machine.py
@@ -13,7 +13,7 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from tests.duties import duty_world
+from tests.duties import duty_cluster
 
 EXAMPLES = int(os.environ.get("MEDLAR_MACHINE_EXAMPLES", "8"))
 SEED = os.environ.get("MEDLAR_MACHINE_SEED", "")
@@ -26,7 +26,7 @@
 
     def __init__(self):
         super().__init__()
-        self.world = duty_world.World()
+        self.world = duty_cluster.World()
         self.world.put_services(1)
         self.world.until_held()
         self.disk_lost_at = -100.0
@@ -71,7 +71,7 @@
     def slow_platform(self, call_s):
         self.world.call_s = call_s
 
-    @stateful.rule(zones=st.sets(st.sampled_from(duty_world.ZONES)))
+    @stateful.rule(zones=st.sets(st.sampled_from(duty_cluster.ZONES)))
     def dry(self, zones):
         self.world.platform.dry = {(zone, True) for zone in zones}
 
@@ -119,7 +119,7 @@
     def teardown(self):
         """Once all is well, everything that was counted is reported."""
         world = self.world
-        world.cut, world.call_s = set(), duty_world.CALL_S
+        world.cut, world.call_s = set(), duty_cluster.CALL_S
         world.platform.lost_share, world.platform.is_down = 0.0, False
         for replica_id in world.host_by_id:
             world.wake(replica_id)
--- a/tests/duties/test_duty_desk.py
+++ b/tests/duties/test_duty_manager.py
@@ -4,13 +4,13 @@
 
 from medlarfork.coordination import coordinator_types
 from medlarfork.duties import duty_types, engine_messages
-from tests.duties import duty_world
+from tests.duties import duty_cluster
 from tests.routed import coordinator_cluster
 
 
 @pytest.fixture
 def world():
-    made = duty_world.World()
+    made = duty_cluster.World()
     made.until_held()
     return made
 
@@ -47,7 +47,7 @@
         assert sum(item.requests for item in found.usage) <= 120
 
 
-def test_a_deployment_without_duties_asks_nothing_of_its_log():
+def test_a_deployment_without_duties_proposes_nothing():
     cluster = coordinator_cluster.Cluster()
     cluster.run(10.0)
     for host in cluster.host_by_id.values():
@@ -80,12 +80,12 @@
     while world.holder() in (None, holder):
         world.step()
         assert world.time < stopped_at + 20.0
-    assert world.time - stopped_at >= duty_world.DUTIES.lease_s
+    assert world.time - stopped_at >= duty_cluster.DUTIES.lease_s
     fence = world.host_by_id[world.holder()].node.duties.lease.fence
     assert fence > world.host_by_id[holder].node.duties.lease.fence
 
 
-def test_after_a_restart_of_all_fences_go_on_and_reports_stay_the_same(world):
+def test_after_a_full_restart_fences_increase_and_reports_stay_the_same(world):
     _count(world, 6.0)
     world.platform.lost_share = 1.0
     _count(world, 6.0)
@@ -101,7 +101,7 @@
     assert _reported(world) == 120
 
 
-def test_what_was_confirmed_before_a_restart_of_all_replicas_is_not_lost(world):
+def test_counts_confirmed_before_a_full_restart_are_not_lost(world):
     """The same replica led again, and hosts told it only what came since its last receipt."""
     world.begin("a", "e-0")
     world.run(1.0)
@@ -113,7 +113,7 @@
     assert _reported(world) == 1
 
 
-def test_a_platform_that_is_down_is_told_when_it_is_back_and_not_pressed_meanwhile(world):
+def test_a_platform_outage_is_caught_up_later_without_overload(world):
     world.platform.is_down = True
     _count(world, 15.0)
     world.platform.is_down = False
@@ -127,13 +127,13 @@
     for replica_id in ("a", "b"):
         world.wall_offset_by_id[replica_id] = 2.0
     for entry in world.entry_by_id.values():
-        assert entry.clock.true_s(world.time, world.time + 2.0) == pytest.approx(world.time)
+        assert entry.clock.fleet_time_s(world.time, world.time + 2.0) == pytest.approx(world.time)
     _count(world, 6.0)
     world.run(8.0)
     assert _reported(world) == 120
 
 
-def test_an_order_without_an_answer_can_not_undo_a_newer_one(world, make_work):
+def test_an_unanswered_request_can_not_undo_a_newer_one(world, make_work):
     """A platform may carry an order out seconds after its caller has given it up."""
     world.put_services(1, spot_price=0.6)
     world.platform.lost_share = 1.0
@@ -146,10 +146,10 @@
         _run_with_engines(world, 1.0, (1, 9))
     assert world.platform.refused > 0
     groups = world.platform.count_by_group
-    assert {groups["engines", zone, True] for zone in duty_world.ZONES} == {9}
+    assert {groups["engines", zone, True] for zone in duty_cluster.ZONES} == {9}
 
 
-def test_engines_follow_the_load_that_replicas_tell(world, make_work):
+def test_engines_follow_the_load_that_replicas_report(world, make_work):
     world.put_services(1)
     _run_with_engines(world, 6.0, (1, 9))
     holder = world.until_held()
--- a/tests/duties/test_duty_settings.py
+++ b/tests/duties/test_duty_settings.py
@@ -17,7 +17,7 @@
         ({"address": "", "duties": ("usage",)}, "address"),
     ],
 )
-def test_what_can_not_work_is_named(changes, named):
+def test_invalid_settings_are_rejected_by_name(changes, named):
     values = {"address": "10.0.0.1:80", "duties": ("usage",)} | changes
     with pytest.raises(errors.SettingsError, match=named):
         duty_types.DutySettings(**values)
--- a/tests/duties/test_platform_caller.py
+++ b/tests/duties/test_platform_caller.py
@@ -18,15 +18,15 @@
     """Make one report under each fence; return how they ended, and the calls still kept."""
     ended = []
 
-    async def on_end(end):
+    async def on_call_end(end):
         ended.append(end.end)
 
     async def run():
         caller = platform_caller.PlatformCaller(
             platform.address,
-            speaks=platform_format.OwnFormat("r-1"),
+            api_format=platform_format.DefaultFormat("r-1"),
             may_act=may_act,
-            on_end=on_end,
+            on_call_end=on_call_end,
         )
         await caller.start()
         for number, fence in enumerate(fences):
@@ -35,9 +35,9 @@
             while len(ended) <= number:
                 await curio.sleep(0.005)
         await curio.sleep(0.05)
-        under_way = caller.under_way
+        calls_in_progress = caller.calls_in_progress
         await caller.close()
-        return under_way
+        return calls_in_progress
 
     return ended, curio.run(run)
 
@@ -57,7 +57,7 @@
     assert platform.calls == []
 
 
-def test_nothing_is_kept_of_calls_that_ended(platform):
+def test_finished_calls_are_released(platform):
     """Each call left its finished task behind for as long as the process ran."""
-    _, under_way = _call(platform, (1,) * 20)
-    assert under_way == 0
+    _, calls_in_progress = _call(platform, (1,) * 20)
+    assert calls_in_progress == 0
--- a/tests/order_world.py
+++ b/tests/order_simulation.py
@@ -15,7 +15,7 @@
     order_planner,
     order_types,
     orders,
-    weight_store,
+    weight_load_scheduler,
 )
 from medlarfork.settings import planner_settings
 
@@ -25,7 +25,7 @@
 LEASE_COMMANDS = (lease_types.TakeLease, lease_types.RenewLease, lease_types.ReleaseLease)
 WEIGHTS = tuple(order_types.Weights(name, "v1", 10) for name in ("small", "other"))
 DESIRED = order_types.DesiredState("all", weights=WEIGHTS, role="decode", max_unavailable=0.5)
-STORE = weight_store.StoreSettings(bytes_per_second=40.0, lanes=4, small_bytes=10)
+STORE = weight_load_scheduler.WeightStoreSettings(bytes_per_second=40.0, lanes=4, small_bytes=10)
 PLANNER = planner_settings.PlannerSettings(
     store=STORE,
     max_order_s=MAX_ORDER_S,
@@ -188,10 +188,10 @@
                 else:
                     done = order_types.OrderDone(action.order_id, order_types.OrderResult.FAILED)
                     self.inbox.append(done)
-            case order_types.ReadBack(upstream_id, _, number):
+            case order_types.ReadEngineState(upstream_id, _, number):
                 state = self.world.engine_by_id[upstream_id].state()
                 self.world.reads.append(
-                    (self, order_types.ReadBackDone(upstream_id, number, state))
+                    (self, order_types.EngineStateRead(upstream_id, number, state))
                 )
             case order_types.Deposed():
                 self.inbox.append(lease_types.Stopping())
@@ -210,7 +210,7 @@
         self.log: list[Any] = []
         self.proposals: list[Any] = []
         self.sent: list[Sent] = []
-        self.reads: list[tuple[Holder, order_types.ReadBackDone]] = []
+        self.reads: list[tuple[Holder, order_types.EngineStateRead]] = []
         self.engines = engines or [
             Engine("checks-1", checks_fence=True),
             Engine("checks-2", checks_fence=True),
--- a/tests/processes/test_control_loss.py
+++ b/tests/processes/test_control_loss.py
@@ -167,7 +167,9 @@
     deployment.wait(_is_full, f"{name} as a voter")
 
 
-def test_one_wiped_replica_and_then_another_lost_for_good_lose_nothing(make_deployment, new_key):
+def test_a_wiped_replica_and_the_permanent_loss_of_another_lose_no_changes(
+    make_deployment, new_key
+):
     deployment = make_deployment(entries=1)
     leader = deployment.wait_for_leader()
     wiped, lost = (name for name in deployment.control_names if name != leader)
@@ -208,7 +210,7 @@
 
 
 @pytest.mark.parametrize("wipes_leader", [True, False])
-def test_a_wiped_replica_and_one_that_missed_a_change_elect_nobody(
+def test_a_wiped_replica_and_one_that_missed_a_change_elect_no_leader(
     make_deployment, new_key, wipes_leader
 ):
     deployment = make_deployment(entries=1)
@@ -283,7 +285,7 @@
     return answer is not None and answer.status == 401
 
 
-def test_an_entry_host_restarted_beside_a_replica_left_behind_serves_only_the_newest(
+def test_an_entry_host_restarted_next_to_a_stale_replica_serves_only_the_newest_revision(
     make_deployment, new_key
 ):
     deployment = make_deployment()
@@ -303,7 +305,7 @@
     assert deployment.total("desk-1") == 0
 
 
-def test_an_old_leader_that_hears_only_a_restarted_entry_host_tells_it_nothing(
+def test_a_stale_leader_that_reaches_only_a_restarted_entry_host_sends_it_no_configuration(
     make_deployment, new_key
 ):
     deployment = make_deployment()
@@ -334,9 +336,7 @@
     assert deployment.total("desk-1") == 0
 
 
-def test_all_replicas_killed_after_hundreds_of_changes_come_back_with_all_of_them(
-    make_deployment, new_key
-):
+def test_killed_replicas_recover_hundreds_of_changes(make_deployment, new_key):
     deployment = make_deployment(entries=1)
     leader = deployment.wait_for_leader()
     base, configuration = deployment.operator.configuration()
@@ -374,9 +374,7 @@
     deployment.wait_for_revision(CHANGES + 2)
 
 
-def test_without_a_quorum_repeatable_traffic_flows_and_nothing_else_runs(
-    make_deployment, tmp_path, new_key
-):
+def test_without_a_quorum_only_repeatable_traffic_runs(make_deployment, tmp_path, new_key):
     deployment = make_deployment()
     deployment.start_service("desk-1")
     deployment.start_engine("engine-1")
--- a/tests/processes/test_duties.py
+++ b/tests/processes/test_duties.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("stop", [signal.SIGKILL, signal.SIGSTOP], ids=["killed", "frozen"])
-def test_another_replica_goes_on_once_the_lease_of_the_holder_is_over(fleet, platform, stop):
+def test_another_replica_takes_over_once_the_lease_of_the_holder_expires(fleet, platform, stop):
     _call(fleet, 20)
     _until_reported(platform, 20)
     holder, fence = platform.holder, platform.fence
@@ -74,7 +74,7 @@
         _until_reported(platform, 80)
 
 
-def test_after_a_restart_of_all_processes_fences_go_on_and_reports_stay(fleet, platform):
+def test_after_a_full_restart_fences_increase_and_reports_stay(fleet, platform):
     _call(fleet, 20)
     _until_reported(platform, 20)
     fence = platform.fence
--- a/tests/naive_pool.py
+++ b/tests/reference_pool.py
@@ -1,7 +1,7 @@
 """Schedule one pool the plain way: scan everything, keep nothing clever.
 
 This is the reference that ``pool.Pool`` is tested against with its adaptive rules off
-(``pool_options.PLAIN``). Every decision looks at one list of queued and one of running tickets.
+(``pool_options.NON_ADAPTIVE``). Every decision looks at one list of queued and one of running tickets.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Any
 
 from medlarfork import node, ticket, upstream
-from medlarfork.pool import _account_share, pool_events, pool_options
+from medlarfork.pool import _account_limiter, pool_events, pool_options
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     grant: ticket.Grant
 
 
-class NaivePool:
+class ReferencePool:
     """Decide like a pool without adaptive rules; slow and easy to check by reading."""
 
     def __init__(self, *, name: str, options: pool_options.PoolOptions) -> None:
@@ -48,7 +48,7 @@
         self._numbers = 0
         self._drained: tuple[str, ...] = ()
         self._default_slots = 1
-        self._accounts = _account_share.AccountShare()
+        self._accounts = _account_limiter.AccountLimiter()
         self._used_by_tier: dict[int, dict[str, float]] = {}
         self._virtual_by_tier: dict[int, float] = {}
         self._unusable_since: float | None = None
--- a/tests/routed/conftest.py
+++ b/tests/routed/conftest.py
@@ -3,9 +3,9 @@
 import pytest
 
 from medlarfork.coordination import upstream_types
-from medlarfork.placement import placement_messages, service_owner
+from medlarfork.placement import placement_messages, shard_owner
 from medlarfork.routes import routing
-from tests.routed import placing
+from tests.routed import placement_helpers
 
 
 @pytest.fixture
@@ -44,22 +44,24 @@
 
 
 @pytest.fixture
-def make_question():
+def make_place_request():
     """Return a maker of questions to the owner of placement."""
 
     def make(ticket_id="t-1", parts=(), **changes):
         values = {"service": "engines", "tier": 0, "left_ms": 1000.0, "zone": "z1"}
-        named = tuple(placement_messages.PromptPart(part_id, tokens) for part_id, tokens in parts)
+        named = tuple(
+            placement_messages.PromptSegment(part_id, tokens) for part_id, tokens in parts
+        )
         return placement_messages.PlaceRequest(ticket_id, parts=named, **(values | changes))
 
     return make
 
 
 @pytest.fixture
-def make_owner(make_announcement):
+def make_shard_owner(make_announcement):
     def make(count=2, **changes):
-        service = service_owner.ServiceOwner()
-        service.use_engine(placing.ENGINE)
+        service = shard_owner.ShardOwner()
+        service.use_engine(placement_helpers.ENGINE)
         service.use_upstreams(
             {
                 f"u-{n}": make_announcement(f"u-{n}", address=f"10.0.0.{n}:80", **changes)
--- a/tests/routed/placing.py
+++ b/tests/routed/placement_helpers.py
@@ -17,5 +17,5 @@
     return placement_messages.RunEnded(ticket_id, end, 1.0)
 
 
-def run(request, read_tokens, read_ms):
-    return upstream_load.Run("e", request, read_tokens, read_ms, is_telling=False)
+def run(request, prefill_tokens, prefill_ms):
+    return upstream_load.Run("e", request, prefill_tokens, prefill_ms, is_rate_sample=False)
--- a/tests/routed/routed_world.py
+++ b/tests/routed/routed_harness.py
@@ -12,11 +12,11 @@
 from medlarfork import errors
 from medlarfork.coordination import coordinator_program, coordinator_settings, operations_format
 from medlarfork.duties import platform_format
-from medlarfork.gateway import gateway_program, gateway_settings, request_names
+from medlarfork.gateway import gateway_program, gateway_settings, request_header_names
 from medlarfork.http import http_client, http_server
 from tests import curio_world
 
-NAMES = request_names.RequestNames()
+NAMES = request_header_names.RequestHeaderNames()
 HTTP_PORT = 7001
 DIRECTORY_PORT = 7002
 LINK_PORT = 7003
@@ -94,7 +94,7 @@
     await exchange.respond(200, echo_headers(exchange), b"done")
 
 
-class World:
+class RoutedDeployment:
     """Own the processes of a deployment, all in the test's own curio kernel."""
 
     def __init__(self, folder, replicas=3):
@@ -123,12 +123,12 @@
             may_found=may_found,
             data_folder=str(self.folder / replica_id),
         )
-        speaks = operations_format.OwnFormat(http_port=HTTP_PORT)
+        api_format = operations_format.OwnFormat(http_port=HTTP_PORT)
         program = coordinator_program.CoordinatorProgram(
             given,
-            speaks=speaks,
+            api_format=api_format,
             read_seeds=lambda: self.replica_ids[:3],
-            speaks_to_platform=platform_format.OwnFormat(given.replica_id),
+            platform_api_format=platform_format.DefaultFormat(given.replica_id),
         )
         await program.start()
         self.control_by_id[replica_id] = program
@@ -228,7 +228,7 @@
     """Run a test's body with a deployment that has started."""
 
     async def in_world():
-        world = World(folder, replicas)
+        world = RoutedDeployment(folder, replicas)
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(world.close)
             await world.start()
--- a/tests/routed/test_coordinator.py
+++ b/tests/routed/test_coordinator.py
@@ -25,7 +25,7 @@
     assert _voters(cluster, "a") == {"a", "b", "c", "d", "e"}
 
 
-def test_the_highest_version_is_in_force_whatever_comes_again(cluster):
+def test_the_highest_version_stays_in_force_after_lower_and_repeated_ones(cluster):
     assert isinstance(cluster.put("b", 8, "first"), Accepted)
     assert isinstance(cluster.put("c", 8, "second"), Accepted)
     assert isinstance(cluster.put("d", 5), Accepted)
@@ -33,7 +33,7 @@
     assert (reply.version, b"first" in reply.body) == (8, True)
 
 
-def test_a_machine_that_is_replaced_at_another_address_is_followed_by_its_successor(cluster):
+def test_a_replica_replaced_at_another_address_becomes_a_voter(cluster):
     leader = cluster.host_by_id["a"].node._leader_id
     cluster.remove(leader)
     cluster.run(1.0)
@@ -45,7 +45,7 @@
     assert cluster.until_read().version == 9
 
 
-def test_all_killed_at_once_are_back_with_what_was_acknowledged(cluster):
+def test_a_restart_of_all_replicas_keeps_acknowledged_versions(cluster):
     cluster.put("a", 7)
     for replica_id in tuple(cluster.host_by_id):
         cluster.kill(replica_id)
@@ -67,7 +67,7 @@
     assert cluster.until_read(12.0).version == 7
 
 
-def test_an_empty_machine_founds_nothing_and_answers_nothing():
+def test_replicas_with_empty_disks_do_not_bootstrap_or_answer():
     cluster = coordinator_cluster.Cluster(seeds=("a", "b", "c"), others=())
     cluster.run(4.0)
     cluster.put("a", 3)
@@ -93,7 +93,7 @@
     assert cluster.until_read().version == 20
 
 
-def test_a_replica_with_a_full_disk_stops_nobody(cluster):
+def test_a_replica_with_a_full_disk_does_not_block_writes(cluster):
     full = "b" if cluster.host_by_id["a"].node._leader_id != "b" else "c"
     cluster.host_by_id[full].disk.is_full = True
     assert isinstance(cluster.put("a", 30), Accepted)
@@ -101,7 +101,7 @@
     assert cluster.until_read().version == 30
 
 
-def test_exchanged_seeds_change_nothing_for_those_that_run(cluster):
+def test_changed_seeds_do_not_affect_running_replicas(cluster):
     for replica_id in cluster.host_by_id:
         cluster.post(replica_id, coordinator_types.SeedsChanged(("d", "e")))
     cluster.kill("d")
@@ -109,7 +109,7 @@
     assert cluster.until_read().version == 3
 
 
-def test_a_leave_reaches_every_replica_that_is_in_contact(cluster, make_announcement):
+def test_a_leave_reaches_every_replica_that_is_connected(cluster, make_announcement):
     announced = coordinator_types.Announce(make_announcement())
     assert isinstance(cluster.ask("a", announced), Accepted)
     cluster.run(0.5)
@@ -155,7 +155,7 @@
     return pushes
 
 
-def test_upstreams_that_come_together_are_told_together(cluster, make_announcement):
+def test_upstreams_that_start_together_are_pushed_together(cluster, make_announcement):
     _hear_entry(cluster, "e-1")
     _view_pushes(cluster, 0.5)
     for number in range(40):
@@ -169,7 +169,7 @@
     assert len(pushes) <= 5 * 4
 
 
-def test_the_names_of_the_replicas_are_told_now_and_then_and_to_new_entry_hosts(cluster):
+def test_replica_lists_are_sent_periodically_and_to_new_entry_hosts(cluster):
     _hear_entry(cluster, "e-1")
     statuses = []
     for _ in range(round(4.0 / coordinator_cluster.STEP_S)):
@@ -195,7 +195,7 @@
     assert len(first) == 5
 
 
-def test_a_leave_is_told_at_once_after_other_changes(cluster, make_announcement):
+def test_a_leave_is_pushed_at_once_after_other_changes(cluster, make_announcement):
     _hear_entry(cluster, "e-1")
     _view_pushes(cluster, 0.5)
     for number in range(3):
@@ -219,7 +219,7 @@
     return bool(cluster.host_by_id[replica_id].node._registry.present)
 
 
-def test_an_upstream_that_is_heard_across_a_cut_stays(cluster, make_announcement):
+def test_an_upstream_heard_on_the_other_side_of_a_partition_stays(cluster, make_announcement):
     """Replay a cut between replicas: the owner dropped the upstreams that the others heard."""
     _announce_to(cluster, "c", make_announcement, 3.0)
     here, there = "ab", "cde"
@@ -231,7 +231,7 @@
         assert _lists(cluster, "c")
 
 
-def test_an_upstream_stays_when_the_cut_is_over(cluster, make_announcement):
+def test_an_upstream_stays_when_a_partition_heals(cluster, make_announcement):
     """Replay the end of a cut: replicas heard each other before they heard of the upstreams."""
     _announce_to(cluster, "c", make_announcement, 3.0)
     cluster.cut |= {(one, two) for one in "ab" for two in "cde"}
@@ -245,15 +245,15 @@
     assert _lists(cluster, "a")
 
 
-def test_an_upstream_that_nobody_hears_is_dropped_as_soon_as_before(cluster, make_announcement):
+def test_an_upstream_that_no_replica_hears_is_dropped_after_the_usual_silence(
+    cluster, make_announcement
+):
     _announce_to(cluster, "c", make_announcement, 3.0)
     cluster.run(4.5)
     assert not _lists(cluster, "a")
 
 
-def test_an_upstream_that_is_silent_beside_a_lost_replica_is_dropped_in_the_end(
-    cluster, make_announcement
-):
+def test_a_silent_upstream_is_dropped_later_while_a_replica_is_missing(cluster, make_announcement):
     _announce_to(cluster, "c", make_announcement, 3.0)
     cluster.kill("e")
     cluster.run(8.0)
@@ -262,7 +262,7 @@
     assert not _lists(cluster, "a")
 
 
-def test_a_host_without_routing_need_not_ask_twice(cluster):
+def test_a_host_without_routing_gets_it_without_another_status(cluster):
     """Replay a restart: the leader may not be known yet, so any replica gives it after 0.1 s."""
     leader = cluster.host_by_id["a"].node._leader_id
     follower = next(name for name in cluster.host_by_id if name != leader)
--- a/tests/routed/test_coordinator_machine.py
+++ b/tests/routed/test_coordinator_machine.py
@@ -62,7 +62,7 @@
     @stateful.rule(places=st.sets(PLACES, min_size=3), key=st.sampled_from("kl"), numbers=NUMBERS)
     def tell_ends(self, places, key, numbers):
         """An entry host that reaches some replicas tells of upstreams that ended."""
-        ends = tuple(crash_messages.UpstreamEnd(f"u-{number}", 0.0) for number in numbers)
+        ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.0) for number in numbers)
         report = crash_messages.CrashReport((crash_messages.CrashCase(key, ends),))
         told = node.MessageReceived("e-0", report)
         for place in places:
--- a/tests/routed/test_crash_ledger.py
+++ b/tests/routed/test_crash_ledger.py
@@ -20,7 +20,7 @@
 
 def note_ends(ledger, count, *, key=KEY, at=0.0):
     for number in range(count):
-        ledger.note_end(key, f"u-{number}@{at}", at, at)
+        ledger.record_crash(key, f"u-{number}@{at}", at, at)
 
 
 @pytest.mark.parametrize(
@@ -40,57 +40,57 @@
     assert (standing.verdict, standing.trial_in_s) == (verdict, trial_in_s)
 
 
-def test_it_reaches_two_upstreams_more_at_most_however_long_it_comes_again(ledger):
+def test_a_held_request_reaches_at_most_two_more_upstreams(ledger):
     runs = []
     for second in range(3000):
         if ledger.standing(KEY, float(second)).verdict is not Verdict.HELD:
             runs.append(second)
-            ledger.note_end(KEY, f"u-{second}", float(second), float(second))
+            ledger.record_crash(KEY, f"u-{second}", float(second), float(second))
     assert len(runs) == 5
     assert runs[:3] == [0, 1, 2]
 
 
-def test_one_upstream_that_breaks_connections_and_lives_on_counts_once(ledger):
+def test_an_upstream_that_breaks_connections_and_keeps_running_counts_once(ledger):
     for second in range(9):
-        ledger.note_end(KEY, "u-1", float(second), float(second))
+        ledger.record_crash(KEY, "u-1", float(second), float(second))
     assert ledger.standing(KEY, 9.0).verdict is Verdict.FREE
 
 
-def test_an_answer_clears_a_request_of_the_ends_around_it(ledger):
+def test_an_answer_clears_a_request_of_the_crashes_around_it(ledger):
     """Replay a third of the upstreams killed at once while many callers send one request."""
     note_ends(ledger, 4, at=100.0)
     assert ledger.standing(KEY, 100.0).verdict is Verdict.HELD
-    assert ledger.note_survival(KEY, 98.0, 100.1)
+    assert ledger.record_completion(KEY, 98.0, 100.1)
     assert ledger.standing(KEY, 100.1).verdict is Verdict.FREE
     note_ends(ledger, 3, at=107.0)
     assert ledger.standing(KEY, 107.0).verdict is Verdict.FREE
 
 
-def test_an_answer_long_ago_clears_of_nothing(ledger):
+def test_an_old_answer_clears_no_crash(ledger):
     note_ends(ledger, 3, at=100.0)
-    assert not ledger.note_survival(KEY, 100.0 - crash_ledger.SHIELD_S - 0.1, 100.0)
+    assert not ledger.record_completion(KEY, 100.0 - crash_ledger.EXONERATION_S - 0.1, 100.0)
     assert ledger.standing(KEY, 100.0).verdict is Verdict.HELD
 
 
-def test_a_case_is_forgotten_an_hour_after_its_last_end(ledger):
+def test_a_case_is_evicted_an_hour_after_its_last_crash(ledger):
     note_ends(ledger, 5)
-    ledger.tidy(crash_ledger.CASE_S - 1.0)
+    ledger.tidy(crash_ledger.CASE_RETENTION_S - 1.0)
     assert ledger.standing(KEY, 0.0).verdict is Verdict.HELD
-    ledger.tidy(crash_ledger.CASE_S + 1.0)
+    ledger.tidy(crash_ledger.CASE_RETENTION_S + 1.0)
     assert len(ledger) == 0
 
 
-def test_an_account_with_many_cases_makes_nobody_elses_forgotten(ledger):
+def test_an_account_with_many_cases_evicts_no_case_of_another(ledger):
     note_ends(ledger, 3, key="000000-others")
-    for number in range(3 * crash_ledger.MOST_CASES):
-        ledger.note_end(f"ffffff-{number}", "u-1", 0.0, 0.0)
-    assert len(ledger) == crash_ledger.MOST_CASES
+    for number in range(3 * crash_ledger.MAX_CASES):
+        ledger.record_crash(f"ffffff-{number}", "u-1", 0.0, 0.0)
+    assert len(ledger) == crash_ledger.MAX_CASES
     assert ledger.standing("000000-others", 0.0).verdict is Verdict.HELD
 
 
-def test_a_report_of_a_report_is_no_news(ledger):
+def test_a_report_of_a_report_is_no_update(ledger):
     note_ends(ledger, 3, at=50.0)
-    ledger.note_survival("none", 1.0, 50.0)
+    ledger.record_completion("none", 1.0, 50.0)
     other = crash_ledger.CrashLedger()
     assert other.merge(ledger.report(ledger.known(), 60.0), 1060.2) == (KEY,)
     assert other.standing(KEY, 1060.2).verdict is Verdict.HELD
@@ -112,12 +112,12 @@
     key, number, ago_s = event
     if number == 0:
         return crash_messages.CrashReport((crash_messages.CrashCase(key, (), ago_s),))
-    end = crash_messages.UpstreamEnd(f"u-{number}", ago_s)
+    end = crash_messages.UpstreamCrash(f"u-{number}", ago_s)
     return crash_messages.CrashReport((crash_messages.CrashCase(key, (end,)),))
 
 
 @hypothesis.given(EVENTS, strategies.randoms(use_true_random=False))
-def test_ledgers_that_heard_the_same_agree_in_whatever_order(events, random):
+def test_crash_ledgers_with_the_same_reports_agree_in_any_order(events, random):
     events = list({(key, number): (key, number, ago) for key, number, ago in events}.values())
     shuffled = [*events, *random.sample(events, len(events) // 2)]
     random.shuffle(shuffled)
@@ -132,7 +132,7 @@
 
 
 @hypothesis.given(EVENTS)
-def test_ledgers_that_tell_each_other_agree_and_fall_silent(events):
+def test_crash_ledgers_that_exchange_reports_converge(events):
     ledgers = [crash_ledger.CrashLedger() for _ in range(3)]
     for ledger, event in zip(itertools.cycle(ledgers), events, strict=False):
         ledger.merge(_told(event), 200.0)
--- a/tests/routed/test_crash_desk.py
+++ b/tests/routed/test_crash_manager.py
@@ -31,7 +31,7 @@
 
 
 def _tell(cluster, replica_ids, numbers, *, key=KEY, survived_ago_s=-1.0):
-    ends = tuple(crash_messages.UpstreamEnd(f"u-{number}", 0.0) for number in numbers)
+    ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.0) for number in numbers)
     case = crash_messages.CrashCase(key, ends, survived_ago_s)
     report = crash_messages.CrashReport((case,))
     for replica_id in replica_ids:
@@ -52,21 +52,21 @@
     return reports
 
 
-def _ask_trial(cluster, replica_id, make_question, ticket_id="t-1"):
+def _ask_trial(cluster, replica_id, make_place_request, ticket_id="t-1"):
     """Return what a replica answers to the question for a trial."""
-    question = make_question(ticket_id, trial_key=KEY)
+    question = make_place_request(ticket_id, trial_key=KEY)
     cluster.packets = []
     cluster.post(replica_id, node.MessageReceived("e-1", question))
     answers = [message for _, to, message in cluster.packets if to == "e-1"]
     return next(item for item in answers if isinstance(item, placement_messages.Answer))
 
 
-def test_what_each_host_has_one_end_of_is_not_told_to_hundreds(cluster):
+def test_a_single_crash_is_not_published(cluster):
     _tell(cluster, "abcde", (1,))
     assert _told(cluster, 1.0) == []
 
 
-def test_a_second_end_is_told_to_all_hosts_within_a_tenth_of_a_second(cluster):
+def test_a_second_crash_is_published_to_all_hosts_within_100_ms(cluster):
     _tell(cluster, "abcde", (1, 2))
     reports = _told(cluster, 0.1)
     assert {to for to, _ in reports} == set(HOSTS)
@@ -74,14 +74,14 @@
     assert len(reports) <= 5 * len(HOSTS)
 
 
-def test_news_are_told_again_for_a_while_and_then_no_more(cluster):
+def test_changes_are_resent_for_a_limited_time(cluster):
     _tell(cluster, "a", (1, 2, 3))
     assert len(_told(cluster, 2.5)) >= 3 * len(HOSTS)
     _told(cluster, 2.0)
     assert _told(cluster, 3.0) == []
 
 
-def test_a_host_that_comes_is_told_at_once(cluster):
+def test_a_new_host_gets_the_cases_at_once(cluster):
     _tell(cluster, "abcde", (1, 2, 3))
     cluster.run(8.0)
     cluster.packets = []
@@ -92,14 +92,14 @@
     assert len(report.cases[0].ends) == 3
 
 
-def test_a_held_request_is_refused_by_every_replica(cluster, make_question):
+def test_a_held_request_is_refused_by_every_replica(cluster, make_place_request):
     _tell(cluster, "abcde", (1, 2, 3))
     for replica_id in "abcde":
-        answer = _ask_trial(cluster, replica_id, make_question)
+        answer = _ask_trial(cluster, replica_id, make_place_request)
         assert isinstance(answer, placement_messages.PlaceRefused)
 
 
-def test_a_restart_of_all_replicas_forgets_no_held_request(cluster, make_question):
+def test_a_restart_of_all_replicas_forgets_no_held_request(cluster, make_place_request):
     """Each restart of everything would else cost three upstreams more."""
     _tell(cluster, "abcde", (1, 2, 3))
     cluster.run(2.0)
@@ -111,22 +111,22 @@
     cluster.until_read(12.0)
     cluster.run(0.5)
     for replica_id in "abcde":
-        answer = _ask_trial(cluster, replica_id, make_question)
+        answer = _ask_trial(cluster, replica_id, make_place_request)
         assert isinstance(answer, placement_messages.PlaceRefused)
         assert answer.retry_after_ms > 0
     assert {to for to, _ in _told(cluster, 1.0)} == set(HOSTS)
 
 
-def test_what_only_some_replicas_heard_is_in_the_log_of_all(cluster, make_question):
+def test_a_case_reported_to_one_replica_reaches_the_log_of_all(cluster, make_place_request):
     leader = cluster.host_by_id["a"].node._leader_id
     _tell(cluster, (leader,), (1, 2, 3))
     cluster.run(1.0)
     for replica_id in "abcde":
-        answer = _ask_trial(cluster, replica_id, make_question)
+        answer = _ask_trial(cluster, replica_id, make_place_request)
         assert isinstance(answer, placement_messages.PlaceRefused)
 
 
-def test_a_request_that_was_answered_is_let_go_also_in_the_log(cluster, make_question):
+def test_a_request_that_completed_is_released_in_the_log_too(cluster, make_place_request):
     _tell(cluster, "abcde", (1, 2, 3))
     cluster.run(2.0)
     _tell(cluster, "abcde", (), survived_ago_s=0.5)
@@ -149,21 +149,23 @@
         assert host.node._crashes.ledger.ends(KEY) == ()
 
 
-def test_a_trial_that_finds_no_upstream_does_not_keep_the_next_one_back(cluster, make_question):
+def test_a_trial_without_an_upstream_does_not_block_the_next_one(cluster, make_place_request):
     _tell(cluster, "abcde", (1, 2))
-    first = _ask_trial(cluster, "a", make_question)
+    first = _ask_trial(cluster, "a", make_place_request)
     assert isinstance(first, placement_messages.Queued)
-    again = _ask_trial(cluster, "a", make_question, "t-2")
+    again = _ask_trial(cluster, "a", make_place_request, "t-2")
     assert isinstance(again, placement_messages.PlaceRefused)
     cluster.run(3.0)
-    assert isinstance(_ask_trial(cluster, "a", make_question, "t-3"), placement_messages.Queued)
+    assert isinstance(
+        _ask_trial(cluster, "a", make_place_request, "t-3"), placement_messages.Queued
+    )
 
 
-def test_a_flood_of_cases_is_told_in_pieces(cluster):
-    ends = tuple(crash_messages.UpstreamEnd(f"u-{number}", 0.0) for number in range(3))
+def test_many_cases_are_published_in_several_reports(cluster):
+    ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.0) for number in range(3))
     cases = tuple(crash_messages.CrashCase(f"ffffff-{number}", ends) for number in range(900))
     cluster.post("a", node.MessageReceived("e-0", crash_messages.CrashReport(cases)))
     reports = [report for to, report in _told(cluster, 1.0) if to == "e-1"]
     assert max(len(report.cases) for report in reports) <= 200
     assert len({case.key for report in reports for case in report.cases}) == 900
-    assert len(cluster.host_by_id["a"].node._crashes.ledger) <= crash_ledger.MOST_CASES
+    assert len(cluster.host_by_id["a"].node._crashes.ledger) <= crash_ledger.MAX_CASES
--- a/tests/routed/test_crash_watch.py
+++ b/tests/routed/test_crash_tracker.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from medlarfork.gateway import crash_watch, entry_session, request_types
+from medlarfork.gateway import crash_tracker, entry_session, request_types
 from medlarfork.http import http_client
 from medlarfork.quarantine import crash_ledger, crash_messages
 from tests import curio_world
@@ -46,14 +46,16 @@
         sent.append((replica_id, report))
         return True
 
-    return crash_watch.CrashWatch(client, session, send)
+    return crash_tracker.CrashTracker(client, session, send)
 
 
 @pytest.fixture
 def make_admitted(make_route):
     def make(key=KEY):
         facts = type("Facts", (), {"attempt_id": "a-1"})()
-        return request_types.Admitted(None, facts, make_route(), key, "s", "shop", 0, b"", 0, 1)
+        return request_types.AdmittedRequest(
+            None, facts, make_route(), key, "s", "shop", 0, b"", 0, 1
+        )
 
     return make
 
@@ -64,11 +66,11 @@
 
 
 async def break_at(watch, admitted, where):
-    await watch.run_broken(admitted, where)
-    await watch.wait_looked(where.upstream_id)
+    await watch.handle_broken_run(admitted, where)
+    await watch.wait_probed(where.upstream_id)
 
 
-def test_ends_are_told_to_all_replicas_and_the_third_holds(
+def test_crashes_are_reported_to_all_replicas_and_the_third_holds_the_request(
     watch, sent, make_admitted, make_announcement
 ):
     async def main():
@@ -81,7 +83,7 @@
     curio_world.run(main)
 
 
-def test_what_breaks_at_one_upstream_is_looked_at_once(
+def test_runs_broken_at_one_upstream_share_one_probe(
     watch, client, sent, make_admitted, make_announcement
 ):
     """Replay a crash: 21 runs broke within 2 ms."""
@@ -89,8 +91,8 @@
     async def main():
         where = upstream(make_announcement, 1)
         for number in range(21):
-            await watch.run_broken(make_admitted(f"k-{number}"), where)
-        await watch.wait_looked(where.upstream_id)
+            await watch.handle_broken_run(make_admitted(f"k-{number}"), where)
+        await watch.wait_probed(where.upstream_id)
         assert client.looks == 1
         assert len(sent) == 2
         assert len(sent[0][1].cases) == 21
@@ -98,7 +100,7 @@
     curio_world.run(main)
 
 
-def test_a_lost_connection_to_an_upstream_that_listens_is_no_end(
+def test_a_lost_connection_to_a_listening_upstream_is_no_crash(
     watch, client, session, make_admitted, make_announcement
 ):
     async def main():
@@ -113,7 +115,7 @@
 
 
 @pytest.mark.parametrize("breaks", [True, False])
-def test_a_later_start_in_its_place_tells_that_an_upstream_ended(
+def test_a_replaced_upstream_counts_as_crashed(
     watch, client, session, make_admitted, make_announcement, breaks
 ):
     """One without power breaks no connection; one that is back may be what listens."""
@@ -126,43 +128,43 @@
             if breaks:
                 await break_at(watch, make_admitted(), where)
             else:
-                watch.run_given_up(KEY, where)
+                watch.record_abandoned_run(KEY, where)
             again = upstream(make_announcement, number, born_ms=2)
             session.upstream_by_id[f"n-{number}@2"] = again
-        watch.note_view()
+        watch.check_replacements()
         assert watch.standing(KEY).verdict is Verdict.HELD
 
     curio_world.run(main)
 
 
-def test_a_run_that_was_given_up_long_before_an_upstream_ended_is_none_of_its_ends(
+def test_a_run_abandoned_long_before_a_crash_is_not_blamed_for_it(
     watch, session, make_announcement, monkeypatch
 ):
     """Callers give up all the time where streams are slow, and releases replace every upstream."""
     now = [100.0]
-    monkeypatch.setattr(crash_watch, "_now", lambda: now[0])
+    monkeypatch.setattr(crash_tracker, "_now", lambda: now[0])
     for number in range(3):
         where = upstream(make_announcement, number)
-        watch.run_given_up(KEY, where)
-        now[0] += crash_watch.PENDING_S - 1.0
-        watch.run_given_up("another", where)
+        watch.record_abandoned_run(KEY, where)
+        now[0] += crash_tracker.REPLACEMENT_WINDOW_S - 1.0
+        watch.record_abandoned_run("another", where)
         now[0] += 2.0
         session.upstream_by_id[f"n-{number}@2"] = upstream(make_announcement, number, born_ms=2)
-        watch.note_view()
+        watch.check_replacements()
     assert watch.standing("another").verdict is Verdict.HELD
     assert watch.standing(KEY).verdict is Verdict.FREE
 
 
-def test_a_host_that_saw_it_answered_clears_a_request_for_all(watch, sent):
-    watch.run_survived(KEY)
-    ends = tuple(crash_messages.UpstreamEnd(f"u-{number}", 0.1) for number in range(3))
+def test_a_host_that_saw_a_request_complete_clears_it_at_all_replicas(watch, sent):
+    watch.record_completed_run(KEY)
+    ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.1) for number in range(3))
     watch.take(crash_messages.CrashReport((crash_messages.CrashCase(KEY, ends),)))
     assert watch.standing(KEY).verdict is Verdict.FREE
     assert [to for to, _ in sent] == ["r1", "r2"]
     assert sent[0][1].cases[0].survived_ago_s >= 0
 
 
-def test_a_request_is_suspect_by_its_own_second_break_or_once_it_is_held(
+def test_a_request_is_suspect_after_its_second_broken_run_or_once_it_is_held(
     watch, make_admitted, make_announcement
 ):
     """Others like it that lost an upstream put it on trial; they do not end it."""
@@ -177,13 +179,13 @@
     curio_world.run(main)
 
 
-def test_upstreams_that_end_together_just_after_an_answer_put_no_request_on_trial(
+def test_simultaneous_crashes_just_after_an_answer_put_no_request_on_trial(
     watch, sent, make_admitted, make_announcement
 ):
     """Two engines were killed at once; a request that ran on both was lost as if it ended them."""
 
     async def main():
-        watch.run_survived(KEY)
+        watch.record_completed_run(KEY)
         for number in range(3):
             await break_at(watch, make_admitted(), upstream(make_announcement, number))
             assert watch.standing(KEY).verdict is Verdict.FREE
@@ -192,15 +194,13 @@
     curio_world.run(main)
 
 
-def test_an_answer_of_long_ago_shields_no_request(
-    watch, make_admitted, make_announcement, monkeypatch
-):
+def test_an_old_answer_shields_no_request(watch, make_admitted, make_announcement, monkeypatch):
     now = [100.0]
-    monkeypatch.setattr(crash_watch, "_now", lambda: now[0])
+    monkeypatch.setattr(crash_tracker, "_now", lambda: now[0])
 
     async def main():
-        watch.run_survived(KEY)
-        now[0] += crash_ledger.SHIELD_S + 0.1
+        watch.record_completed_run(KEY)
+        now[0] += crash_ledger.EXONERATION_S + 0.1
         for number in range(3):
             await break_at(watch, make_admitted(), upstream(make_announcement, number))
         assert watch.standing(KEY).verdict is Verdict.HELD
@@ -208,16 +208,14 @@
     curio_world.run(main)
 
 
-def test_a_replica_that_has_started_is_told_what_is_known(
-    watch, sent, make_admitted, make_announcement
-):
+def test_a_restarted_replica_gets_all_known_cases(watch, sent, make_admitted, make_announcement):
     async def main():
-        watch.note_replica("r1", 50.0)
+        watch.sync_if_restarted("r1", 50.0)
         await break_at(watch, make_admitted(), upstream(make_announcement, 1))
         sent.clear()
-        watch.note_replica("r1", 50.4)
+        watch.sync_if_restarted("r1", 50.4)
         assert sent == []
-        watch.note_replica("r1", 0.2)
+        watch.sync_if_restarted("r1", 0.2)
         assert [to for to, _ in sent] == ["r1"]
 
     curio_world.run(main)
--- a/tests/routed/test_read_rate.py
+++ b/tests/routed/test_engine_estimator.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from medlarfork.placement import placement_messages, read_rate
+from medlarfork.placement import engine_estimator, placement_messages
 
 EVENTS = 40
 STREAMS = 60
@@ -48,52 +48,59 @@
     return request.param
 
 
-def observe(engine, rate, *, prompts=60, streams=STREAMS, delayed=0.3, seed=1):
+def observe(engine, estimator, *, prompts=60, streams=STREAMS, delayed=0.3, seed=1):
     """Show a rate what callers of an engine see; some runs are delayed by what nobody knows."""
     draw = random.Random(seed)
     for _ in range(prompts):
-        for tokens in (draw.randrange(20, read_rate.FEW_TOKENS), draw.randrange(1500, 12_000)):
+        for tokens in (
+            draw.randrange(20, engine_estimator.MAX_FIXED_TOKENS),
+            draw.randrange(1500, 12_000),
+        ):
             late_ms = draw.uniform(20.0, 400.0) if draw.random() < delayed else 0.0
-            rate.learn(tokens, engine.first_event_ms(tokens) + late_ms + draw.uniform(2.0, 4.0))
+            estimator.observe_first_event(
+                tokens, engine.first_event_ms(tokens) + late_ms + draw.uniform(2.0, 4.0)
+            )
     for _ in range(streams):
         unread = draw.choice((0, 3000, 40_000))
         pauses = sorted(engine.pauses(unread, draw.randrange(EVENTS * engine.event_tokens // 2)))
-        seen = placement_messages.Pauses(pauses[len(pauses) // 2], pauses[-1])
-        rate.learn_pauses(seen, unread / rate.tokens_per_ms, engine.event_tokens)
+        seen = placement_messages.InterEventGaps(pauses[len(pauses) // 2], pauses[-1])
+        estimator.observe_gaps(seen, unread / estimator.tokens_per_ms, engine.event_tokens)
 
 
-def test_engines_are_learnt_from_what_their_callers_get(engine):
-    rate = read_rate.ReadRate()
-    observe(engine, rate)
-    assert rate.tokens_per_ms == pytest.approx(engine.tokens_per_ms, rel=0.15)
-    assert rate.step_ms == pytest.approx(engine.step_ms, rel=0.1)
+def test_engines_are_estimated_from_caller_latencies(engine):
+    estimator = engine_estimator.EngineEstimator()
+    observe(engine, estimator)
+    assert estimator.tokens_per_ms == pytest.approx(engine.tokens_per_ms, rel=0.15)
+    assert estimator.step_ms == pytest.approx(engine.step_ms, rel=0.1)
     longest_ms = engine.event_tokens * (engine.step_ms + engine.chunk_tokens / engine.tokens_per_ms)
-    assert rate.pause_ms(engine.event_tokens) == pytest.approx(longest_ms, rel=0.2)
+    assert estimator.max_gap_ms(engine.event_tokens) == pytest.approx(longest_ms, rel=0.2)
 
 
-def test_before_anything_is_known_an_engine_is_taken_for_a_slow_one(engine):
-    rate = read_rate.ReadRate()
-    assert not rate.has_measured
+def test_an_unknown_engine_is_assumed_to_be_slow(engine):
+    estimator = engine_estimator.EngineEstimator()
+    assert not estimator.has_measured
     if engine.tokens_per_ms > 40.0:
         longest_ms = engine.chunk_tokens / engine.tokens_per_ms + engine.step_ms
-        assert rate.pause_ms(1) > longest_ms
+        assert estimator.max_gap_ms(1) > longest_ms
 
 
-def test_a_longer_pause_than_foreseen_is_believed_at_once(engine):
-    rate = read_rate.ReadRate()
-    observe(engine, rate)
-    before_ms = rate.pause_ms(engine.event_tokens)
+def test_a_longer_gap_than_predicted_raises_the_estimate(engine):
+    estimator = engine_estimator.EngineEstimator()
+    observe(engine, estimator)
+    before_ms = estimator.max_gap_ms(engine.event_tokens)
     for _ in range(60):
-        seen = placement_messages.Pauses(engine.event_tokens * engine.step_ms, before_ms * 2.0)
-        rate.learn_pauses(seen, 0.0, engine.event_tokens)
-    assert rate.pause_ms(engine.event_tokens) > before_ms * 1.5
+        seen = placement_messages.InterEventGaps(
+            engine.event_tokens * engine.step_ms, before_ms * 2.0
+        )
+        estimator.observe_gaps(seen, 0.0, engine.event_tokens)
+    assert estimator.max_gap_ms(engine.event_tokens) > before_ms * 1.5
 
 
-def test_a_new_owner_starts_from_what_the_one_before_had_learnt(engine):
-    before, after = read_rate.ReadRate(), read_rate.ReadRate()
+def test_a_new_owner_starts_from_the_previous_estimate(engine):
+    before, after = engine_estimator.EngineEstimator(), engine_estimator.EngineEstimator()
     observe(engine, before)
-    after.take_over(before.belief)
-    assert after.belief == before.belief
+    after.adopt(before.estimate)
+    assert after.estimate == before.estimate
     observe(dataclasses.replace(engine, tokens_per_ms=engine.tokens_per_ms * 2.0), after)
-    after.take_over(before.belief)
+    after.adopt(before.estimate)
     assert after.tokens_per_ms == pytest.approx(engine.tokens_per_ms * 2.0, rel=0.15)
--- a/tests/routed/test_entry_feed.py
+++ b/tests/routed/test_entry_feed.py
@@ -34,14 +34,14 @@
     assert _versions(_push(other, 2, 3, 0.6, leads=False)) == [3]
 
 
-def test_a_follower_does_not_let_a_host_without_routing_wait_for_the_leader():
+def test_a_follower_soon_pushes_to_a_host_without_routing():
     """Replay a restart of all: hosts knew three replicas, and the leader was another one."""
     follower = entry_feed.EntryFeed(boot=8)
     assert _push(follower, 0, 3, 0.0, leads=False) == ()
     assert _versions(_push(follower, 0, 3, 0.12, leads=False)) == [3]
 
 
-def test_a_storm_has_one_version_under_way_and_the_newest_follows(feed):
+def test_a_burst_has_one_version_in_flight_and_then_the_newest(feed):
     _push(feed, 0, 1, 0.0)
     assert _push(feed, 0, 2, 0.06) == ()
     assert _push(feed, 0, 3, 0.12) == ()
@@ -54,7 +54,7 @@
     assert _versions(_push(feed, 0, 1, 0.9)) == [1]
 
 
-def test_an_entry_host_that_missed_a_change_gets_the_whole_view(feed, make_announcement):
+def test_an_entry_host_that_missed_a_change_gets_the_full_view(feed, make_announcement):
     whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
     feed.push_view(upstream_types.ViewChange((make_announcement(),)), ["e"], -1.0)
     assert feed.complete_view("e", _status(boot=7, sequence=1), lambda: whole, 0.0) == ()
@@ -64,7 +64,7 @@
     assert feed.complete_view("e", _status(boot=6, sequence=1), lambda: whole, 2.0)
 
 
-def test_a_status_that_crosses_a_change_brings_no_whole_view(feed, make_announcement):
+def test_a_status_sent_before_a_change_arrived_triggers_no_full_view(feed, make_announcement):
     whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
     for number in range(20):
         now = number * 0.1
@@ -74,11 +74,11 @@
     assert feed.complete_view("e", _status(boot=7, sequence=16), lambda: whole, 2.6)
 
 
-def test_one_that_holds_no_view_of_this_start_gets_it_at_once(feed, make_announcement):
+def test_a_host_without_a_view_of_this_boot_gets_it_at_once(feed, make_announcement):
     whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
     feed.push_view(upstream_types.ViewChange((make_announcement(),)), ["e"], 0.0)
     assert feed.complete_view("e", _status(boot=0, sequence=0), lambda: whole, 0.0)
 
 
-def test_a_change_of_nothing_is_not_sent(feed):
+def test_an_empty_change_is_not_sent(feed):
     assert feed.push_view(upstream_types.ViewChange(), ["e"], 0.0) == ()
--- a/tests/routed/test_gateway_parts.py
+++ b/tests/routed/test_gateway_parts.py
@@ -2,22 +2,22 @@
 
 from medlarfork import errors
 from medlarfork.gateway import (
-    attempt_policy,
-    event_cutter,
-    request_facts,
-    request_names,
+    event_framer,
+    request_header_names,
+    request_metadata,
     retry_budget,
+    retry_policy,
 )
 from medlarfork.placement import placement_messages
 from medlarfork.routes import routing
 
-NAMES = request_names.RequestNames()
+NAMES = request_header_names.RequestHeaderNames()
 FAILED = placement_messages.RunEnd.FAILED
 REJECTED = placement_messages.RunEnd.REJECTED
 
 
-def test_the_facts_of_a_request_are_read():
-    facts = request_facts.read(
+def test_request_metadata_is_parsed():
+    facts = request_metadata.read(
         {
             NAMES.attempt_id: "a1",
             NAMES.deadline_ms: "1500",
@@ -44,13 +44,13 @@
         (NAMES.token_usage, "many"),
     ],
 )
-def test_unreadable_facts_are_refused(name, value):
+def test_malformed_metadata_is_refused(name, value):
     with pytest.raises(errors.RequestRefusedError):
-        request_facts.read({name: value}, NAMES)
+        request_metadata.read({name: value}, NAMES)
 
 
-def test_what_only_the_system_sets_is_dropped_from_callers():
-    sent = request_facts.for_upstream(
+def test_headers_that_only_the_system_sets_are_removed_from_callers_requests():
+    sent = request_metadata.upstream_headers(
         {
             NAMES.expected_upstream: "forged",
             NAMES.account: "forged",
@@ -78,17 +78,17 @@
     }
 
 
-def test_upstreams_are_told_the_tier_and_within_it_the_nearer_target():
+def test_upstream_ranks_order_by_tier_and_then_by_target():
     ranks = [
-        request_facts.upstream_rank(tier, target_ms)
+        request_metadata.upstream_rank(tier, target_ms)
         for tier in (0, 1)
         for target_ms in (250.0, 400.0, 2500.0)
     ]
     assert ranks == [0, 1, 2, 3, 4, 5]
-    assert request_facts.upstream_rank(9, 100.0) == 9
+    assert request_metadata.upstream_rank(9, 100.0) == 9
 
 
-def test_repeats_stay_within_the_budget_in_every_sliding_window():
+def test_retries_stay_within_the_budget_in_every_sliding_window():
     rules = retry_budget.BudgetRules(ratio=0.2, burst=40.0, window_s=10.0)
     hosts = [retry_budget.RetryBudget(rules) for _ in range(4)]
     repeats = []
@@ -96,7 +96,7 @@
     for step in range(3000):
         now = step * 0.02
         host = hosts[step % 4]
-        host.note_request(now)
+        host.record_request(now)
         requests.append(now)
         if host.take(now, entry_hosts=4):
             repeats.append(now)
@@ -113,42 +113,42 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 30))
-def test_events_are_passed_on_whole_however_they_are_cut(cut):
+def test_only_complete_events_are_passed_on_however_the_bytes_are_split(cut):
     data = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
-    cutter = event_cutter.EventCutter()
+    cutter = event_framer.EventFramer()
     first = cutter.feed(data[:cut])
     assert first.endswith(b"\n\n") or not first
     assert first + cutter.feed(data[cut:]) == data
     assert (cutter.last_id, cutter.events) == ("3", 3)
 
 
-def test_a_cut_event_is_dropped_before_the_stream_goes_on():
-    cutter = event_cutter.EventCutter()
+def test_an_incomplete_event_is_discarded_before_the_stream_resumes():
+    cutter = event_framer.EventFramer()
     assert cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
-    cutter.drop_pending()
+    cutter.discard_pending()
     assert cutter.last_id == "1"
     assert cutter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
 
-def test_what_may_not_be_repeated_is_sent_again_only_if_it_did_not_run(make_route):
+def test_a_non_repeatable_request_is_retried_only_if_it_did_not_run(make_route):
     route = make_route(kind=routing.RouteKind.UNSAFE, max_attempts=3)
-    start = attempt_policy.Progress()
-    assert attempt_policy.may_try_again(route, start.after(REJECTED), 500.0)
-    assert not attempt_policy.may_try_again(route, start.after(FAILED), 500.0)
-    assert not attempt_policy.may_try_again(route, start.after(REJECTED).after(FAILED), 500.0)
+    start = retry_policy.Progress()
+    assert retry_policy.may_retry(route, start.after(REJECTED), 500.0)
+    assert not retry_policy.may_retry(route, start.after(FAILED), 500.0)
+    assert not retry_policy.may_retry(route, start.after(REJECTED).after(FAILED), 500.0)
 
 
-def test_attempts_are_bounded_by_the_route_and_by_time(make_route):
+def test_attempts_are_limited_by_the_route_and_by_the_deadline(make_route):
     route = make_route(max_attempts=2)
-    once = attempt_policy.Progress().after(FAILED)
-    assert attempt_policy.may_try_again(route, once, 500.0)
-    assert not attempt_policy.may_try_again(route, once.after(FAILED), 500.0)
-    assert not attempt_policy.may_try_again(route, once, 10.0)
-
-
-def test_not_run_is_said_only_where_it_is_true():
-    nothing = attempt_policy.Progress()
-    assert attempt_policy.final_status(nothing.after(REJECTED), in_time=True) == 503
-    assert attempt_policy.final_status(nothing.after(FAILED), in_time=True) == 502
-    assert attempt_policy.final_status(nothing.after(FAILED), in_time=False) == 504
-    assert attempt_policy.final_status(nothing, in_time=False) == 503
+    once = retry_policy.Progress().after(FAILED)
+    assert retry_policy.may_retry(route, once, 500.0)
+    assert not retry_policy.may_retry(route, once.after(FAILED), 500.0)
+    assert not retry_policy.may_retry(route, once, 10.0)
+
+
+def test_status_503_is_sent_only_if_the_request_did_not_run():
+    nothing = retry_policy.Progress()
+    assert retry_policy.final_status(nothing.after(REJECTED), in_time=True) == 503
+    assert retry_policy.final_status(nothing.after(FAILED), in_time=True) == 502
+    assert retry_policy.final_status(nothing.after(FAILED), in_time=False) == 504
+    assert retry_policy.final_status(nothing, in_time=False) == 503
--- a/tests/routed/test_member_desk.py
+++ b/tests/routed/test_membership_manager.py
@@ -1,7 +1,7 @@
 import pytest
 
 from medlarfork import node
-from medlarfork.coordination import member_desk
+from medlarfork.coordination import membership_manager
 from medlarfork.replica import replica, replica_types
 
 ME = "r1"
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def desk():
-    return member_desk.MemberDesk(ME, ("r1", "r2", "r3"))
+    return membership_manager.MembershipManager(ME, ("r1", "r2", "r3"))
 
 
 def test_hellos_go_to_all_known_replicas(desk):
@@ -55,12 +55,12 @@
     assert _changes(even) == [("", "r3")]
 
 
-def test_a_new_leader_gives_everyone_time_to_speak(desk):
+def test_a_new_leader_waits_before_it_removes_members(desk):
     actions = desk.on_time(_status(ME, "r2", "r3", "r4"), leads=True, now=1000.0)
     assert _changes(actions) == []
 
 
-def test_a_learner_that_fell_silent_is_let_go(desk):
+def test_a_learner_that_fell_silent_is_removed(desk):
     for now in (0.0, 4.0):
         desk.hear("r2", now)
         desk.hear("r3", now)
@@ -70,9 +70,9 @@
     assert found == [("", "r9")]
 
 
-def test_a_replica_that_is_gone_for_long_is_not_looked_for(desk):
+def test_a_replica_that_is_silent_for_long_is_forgotten(desk):
     desk.hear("r9", 0.0)
-    desk.on_time(_status(ME, "r2", "r3"), leads=False, now=member_desk.FORGET_S + 1)
+    desk.on_time(_status(ME, "r2", "r3"), leads=False, now=membership_manager.FORGET_AFTER_S + 1)
     assert "r9" not in desk.peers
     assert "r2" in desk.peers
 
@@ -85,13 +85,13 @@
     }
 
 
-def test_after_a_start_each_replica_is_asked_until_it_has_told_its_upstreams(desk):
+def test_after_a_start_each_replica_is_asked_until_it_has_sent_its_upstreams(desk):
     """Replay a restart of all: one announcement that came by ended the questions."""
     status = _status(ME, "r2", "r3")
     assert _wants(desk.on_time(status, leads=False, now=0.0)) == {"r2": True, "r3": True}
-    desk.got_upstreams("r2")
-    later = member_desk.QUESTION_PERIOD_S
+    desk.record_upstreams_received("r2")
+    later = membership_manager.STARTUP_HELLO_PERIOD_S
     assert _wants(desk.on_time(status, leads=False, now=later)) == {"r2": False, "r3": True}
-    desk.got_upstreams("r3")
+    desk.record_upstreams_received("r3")
     assert _wants(desk.on_time(status, leads=False, now=2.1 * later)) == {"r2": False, "r3": False}
     assert not desk.on_time(status, leads=False, now=3.2 * later)
--- a/tests/routed/test_owner_client.py
+++ b/tests/routed/test_owner_client.py
@@ -4,7 +4,7 @@
 import pytest
 
 from medlarfork.backpressure import send_gate, signal_ledger
-from medlarfork.gateway import holding, owner_client
+from medlarfork.gateway import owner_client, request_hold
 from medlarfork.placement import placement_messages
 from tests import curio_world
 
@@ -31,7 +31,7 @@
     def service_shards(self, service):
         return HOME, OTHER
 
-    def counted(self, shard):
+    def resolve_shard(self, shard):
         return shard
 
     def find_upstream(self, upstream_id):
@@ -40,14 +40,14 @@
     def shard_of(self, upstream_id):
         return OTHER if self.has_moved else HOME
 
-    def hear(self, replica_id, now):
+    def record_contact(self, replica_id, now):
         pass
 
-    def suspect(self, replica_id):
+    def mark_unreachable(self, replica_id):
         self.owner_id = "r2" if replica_id == "r1" else ""
         return True
 
-    def is_passed_over(self, replica_id, now):
+    def is_unresponsive(self, replica_id, now):
         return replica_id == "r1"
 
 
@@ -76,7 +76,7 @@
         return True
 
     gate = send_gate.SendGate(signal_ledger.SignalLedger())
-    return owner_client.OwnerClient("e", session, send, holding.Holding(), gate, told.append)
+    return owner_client.OwnerClient("e", session, send, request_hold.HoldQueue(), gate, told.append)
 
 
 @pytest.fixture
@@ -89,19 +89,19 @@
     return sum(isinstance(item, placement_messages.PlaceRequest) for item in questions)
 
 
-def test_a_request_that_waited_at_an_owner_is_asked_again_once_that_is_chosen_anew(
-    session, sent, client, make_question
+def test_a_queued_request_is_sent_again_after_its_owner_changed_twice(
+    session, sent, client, make_place_request
 ):
     """Replay a restart: owners changed twice within 0.25 s, and 33 callers waited in vain."""
 
     async def main():
-        placing = await curio.spawn(client.place, make_question("t", left_ms=5000.0))
+        placing = await curio.spawn(client.place, make_place_request("t", left_ms=5000.0))
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await client.take("r1", placement_messages.Queued("t"))
         for owner_id in ("r2", "r1"):
             session.owner_id = owner_id
-            client.tell_owners(0.0)
-            await client.wake_waiting()
+            client.notify_owners(0.0)
+            await client.wake_queued()
         await curio_world.until(lambda: asked(sent, "r1") == 2)
         await client.take("r1", placement_messages.Placed("t", "u-1"))
         assert await placing.join() == placement_messages.Placed("t", "u-1")
@@ -109,16 +109,18 @@
     curio_world.run(main)
 
 
-def test_a_new_owner_is_told_what_the_one_before_had_learnt(session, sent, client, make_question):
-    belief = placement_messages.ReadingBelief(41.0, 4096.0, 4.6, 25.0)
+def test_a_new_owner_gets_the_estimates_of_the_previous_one(
+    session, sent, client, make_place_request
+):
+    belief = placement_messages.EngineEstimate(41.0, 4096.0, 4.6, 25.0)
 
     async def main():
-        placing = await curio.spawn(client.place, make_question("t"))
+        placing = await curio.spawn(client.place, make_place_request("t"))
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await client.take("r1", placement_messages.Placed("t", "u-1", "", belief))
         await placing.join()
         session.owner_id = "r2"
-        client.tell_owners(0.0)
+        client.notify_owners(0.0)
         chosen = placement_messages.OwnerChosen(SHARD, is_chosen=True, belief=belief)
         assert ("r2", chosen) in sent
 
@@ -126,15 +128,15 @@
 
 
 @pytest.mark.parametrize("is_silent", [True, False])
-def test_the_next_owner_is_asked_at_once_where_the_first_can_not_be(
-    session, sent, client, unreachable, make_question, is_silent
+def test_the_next_owner_is_asked_at_once_if_the_first_does_not_reply(
+    session, sent, client, unreachable, make_place_request, is_silent
 ):
     """Replay an owner that was killed: for 1 s entry hosts placed by what they knew alone."""
 
     async def main():
         if not is_silent:
             unreachable.add("r1")
-        placing = await curio.spawn(client.place, make_question("t"))
+        placing = await curio.spawn(client.place, make_place_request("t"))
         await curio_world.until(lambda: asked(sent, "r2") == 1)
         await client.take("r2", placement_messages.Placed("t", "u-1"))
         assert await placing.join() == placement_messages.Placed("t", "u-1")
@@ -151,11 +153,11 @@
     ]
 
 
-def test_a_request_that_meets_a_busy_part_asks_the_other_and_then_waits_at_the_first(
-    sent, client, make_question
+def test_a_request_to_a_busy_shard_tries_the_other_and_then_queues_at_the_first(
+    sent, client, make_place_request
 ):
     async def main():
-        question = make_question("t", shard=HOME, other_shard=OTHER)
+        question = make_place_request("t", shard=HOME, other_shard=OTHER)
         placing = await curio.spawn(client.place, question)
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await client.take("r1", placement_messages.Busy("t", 900.0))
@@ -173,9 +175,11 @@
     curio_world.run(main)
 
 
-def test_a_second_part_whose_owner_says_nothing_is_left_for_the_first(sent, client, make_question):
+def test_a_request_returns_to_the_first_shard_if_the_second_owner_does_not_reply(
+    sent, client, make_place_request
+):
     async def main():
-        question = make_question("t", shard=HOME, other_shard=OTHER)
+        question = make_place_request("t", shard=HOME, other_shard=OTHER)
         placing = await curio.spawn(client.place, question)
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await client.take("r1", placement_messages.Busy("t", 900.0))
@@ -192,21 +196,21 @@
 
 
 @pytest.mark.parametrize("other_owner_id", ["r9", "r1"])
-def test_the_owner_of_the_part_that_an_upstream_moved_to_hears_of_what_runs_there(
-    session, sent, client, make_question, other_owner_id
+def test_the_new_owner_of_a_moved_upstream_gets_its_running_requests(
+    session, sent, client, make_place_request, other_owner_id
 ):
     session.other_owner_id = other_owner_id
     upstream_id = next(f"u-{n}" for n in range(99) if OTHER.has(f"u-{n}"))
 
     async def main():
-        placing = await curio.spawn(client.place, make_question("t", shard=HOME))
+        placing = await curio.spawn(client.place, make_place_request("t", shard=HOME))
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await client.take("r1", placement_messages.Placed("t", upstream_id))
         await placing.join()
-        client.move_running(0.0)
+        client.report_moved_runs(0.0)
         assert not [item for _, item in sent if isinstance(item, placement_messages.StillRunning)]
         session.has_moved = True
-        client.move_running(0.0)
+        client.report_moved_runs(0.0)
         cancelled = placement_messages.RunEnd.CANCELLED
         assert ("r1", placement_messages.RunEnded("t", cancelled, 0.0)) in sent
         (told,) = [
@@ -215,7 +219,7 @@
             if isinstance(item, placement_messages.StillRunning)
         ]
         assert told == (other_owner_id, upstream_id)
-        client.move_running(0.1)
+        client.report_moved_runs(0.1)
         assert sum(isinstance(item, placement_messages.StillRunning) for _, item in sent) == 1
         client.end("t", placement_messages.RunEnd.COMPLETE, 1.0)
         assert sent[-1][0] == other_owner_id
@@ -224,15 +228,15 @@
 
 
 @pytest.mark.parametrize("takes", [True, False])
-def test_a_request_that_no_upstream_of_a_part_takes_asks_the_other_parts_before_it_is_refused(
-    sent, client, make_question, takes
+def test_a_request_refused_by_a_closed_shard_tries_the_other_shards_first(
+    sent, client, make_place_request, takes
 ):
     closed = placement_messages.PlaceRefused("t", 3000.0, "closed", CLOSED)
     sooner = placement_messages.PlaceRefused("t", 1000.0, "closed", CLOSED)
     last = placement_messages.Placed("t", "u-1") if takes else sooner
 
     async def main():
-        placing = await curio.spawn(client.place, make_question("t", shard=HOME))
+        placing = await curio.spawn(client.place, make_place_request("t", shard=HOME))
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await client.take("r1", closed)
         await curio_world.until(lambda: asked(sent, "r9") == 1)
@@ -243,9 +247,9 @@
     curio_world.run(main)
 
 
-def test_an_ordinary_refusal_is_final(sent, client, make_question):
+def test_an_ordinary_refusal_is_final(sent, client, make_place_request):
     async def main():
-        placing = await curio.spawn(client.place, make_question("t", shard=HOME))
+        placing = await curio.spawn(client.place, make_place_request("t", shard=HOME))
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         refused = placement_messages.PlaceRefused("t", 3000.0, "it would wait too long")
         await client.take("r1", refused)
@@ -255,33 +259,35 @@
     curio_world.run(main)
 
 
-def test_an_owner_is_told_the_signals_of_upstreams_before_its_first_question(
-    session, sent, client, told, make_question
+def test_an_owner_gets_the_known_signals_before_the_first_request(
+    session, sent, client, told, make_place_request
 ):
     """One that had just started knew no limit, and placed six requests at once on that upstream."""
 
     async def main():
-        placing = await curio.spawn(client.place, make_question("t"))
+        placing = await curio.spawn(client.place, make_place_request("t"))
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         assert told == ["r1"]
         session.owner_id = "r2"
-        client.tell_owners(0.0)
+        client.notify_owners(0.0)
         assert told == ["r1", "r2"]
         await placing.cancel()
 
     curio_world.run(main)
 
 
-def test_a_host_without_a_view_asks_no_owner_yet(session, sent, client, make_question):
+def test_a_host_without_a_view_sends_no_placement_request(
+    session, sent, client, make_place_request
+):
     """Owners placed on upstreams that it did not know, and callers were refused for it."""
     session.has_view = False
 
     async def main():
-        placing = await curio.spawn(client.place, make_question("t", left_ms=5000.0))
+        placing = await curio.spawn(client.place, make_place_request("t", left_ms=5000.0))
         await curio.sleep(0.1)
         assert asked(sent, "r1") == 0
         session.has_view = True
-        await client._holds.note_change()
+        await client._holds.notify_change()
         await curio_world.until(lambda: asked(sent, "r1") == 1)
         await placing.cancel()
 
--- a/tests/routed/test_restart.py
+++ b/tests/routed/test_request_hold.py
@@ -4,13 +4,13 @@
 
 import curio
 
-from medlarfork.gateway import holding
+from medlarfork.gateway import request_hold
 from tests import curio_world
-from tests.routed import routed_world
-from tests.routed.routed_world import NAMES
+from tests.routed import routed_harness
+from tests.routed.routed_harness import NAMES
 
 
-def test_a_request_that_comes_before_the_routing_waits_for_it(tmp_path):
+def test_a_request_before_the_first_routing_is_held(tmp_path):
     async def main(world):
         await world.add_upstream()
         calling = await curio.spawn(lambda: world.call(**{NAMES.deadline_ms: "5000"}))
@@ -19,10 +19,10 @@
         response = await calling.join()
         assert (response.status, await response.read()) == (200, b"done")
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_request_that_comes_before_any_upstream_waits_for_one(tmp_path):
+def test_a_request_before_the_first_upstream_is_held(tmp_path):
     async def main(world):
         await world.put_routing()
         calling = await curio.spawn(world.call)
@@ -31,10 +31,10 @@
         response = await calling.join()
         assert (response.status, await response.read()) == (200, b"done")
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_request_that_can_not_be_held_to_its_end_is_told_when_to_come_back(tmp_path):
+def test_a_request_held_until_its_deadline_gets_a_retry_after(tmp_path):
     async def main(world):
         began_at = time.monotonic()
         response = await world.call(**{NAMES.deadline_ms: "400"})
@@ -42,10 +42,10 @@
         assert float(response.headers["retry-after"]) > 0
         assert 0.2 < time.monotonic() - began_at < 0.4
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_caller_that_leaves_while_its_request_is_held_frees_its_place(tmp_path):
+def test_a_caller_that_disconnects_frees_its_place_in_the_hold_queue(tmp_path):
     async def main(world):
         upstream = await world.add_upstream()
         calling = await curio.spawn(world.call)
@@ -55,14 +55,14 @@
         await world.put_routing()
         assert upstream.seen == []
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_only_so_many_requests_are_held(monkeypatch):
-    monkeypatch.setattr(holding, "MOST_HELD", 2)
+def test_the_number_of_held_requests_is_limited(monkeypatch):
+    monkeypatch.setattr(request_hold, "MOST_HELD", 2)
 
     async def main():
-        holds = holding.Holding()
+        holds = request_hold.HoldQueue()
         async with curio.TaskGroup() as group:
             for _ in range(2):
                 await group.spawn(holds.wait, lambda: False, 0.3)
