--- a/tests/routed/test_routed_deployment.py
+++ b/tests/routed/test_routed_deployment.py
@@ -8,8 +8,8 @@
 from medlarfork import errors
 from medlarfork.http import http_server
 from tests import curio_world
-from tests.routed import routed_world
-from tests.routed.routed_world import NAMES
+from tests.routed import routed_harness
+from tests.routed.routed_harness import NAMES
 
 
 def test_a_request_reaches_its_upstream_and_the_answer_comes_back(tmp_path):
@@ -31,10 +31,10 @@
         assert 0 < int(seen.head.headers[NAMES.deadline_ms]) < 900
         assert "authorization" not in seen.head.headers
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_requests_are_refused_for_what_is_wrong_with_them(tmp_path):
+def test_invalid_requests_are_refused_with_their_status(tmp_path):
     async def main(world):
         assert (await world.call()).status == 503
         await world.put_routing(accounts=[{"name": "shop", "api_keys": ["k-1"]}])
@@ -44,11 +44,13 @@
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
 @pytest.mark.parametrize(("kind", "status", "runs"), [("safe", 200, 2), ("unsafe", 502, 1)])
-def test_a_lost_answer_is_tried_elsewhere_only_if_that_does_no_harm(tmp_path, kind, status, runs):
+def test_a_lost_answer_is_retried_elsewhere_only_if_the_request_is_repeatable(
+    tmp_path, kind, status, runs
+):
     async def main(world):
         ran = []
 
@@ -56,7 +58,7 @@
             ran.append(1)
             if len(ran) == 1:
                 return
-            await routed_world.answer_plainly(exchange)
+            await routed_harness.answer_plainly(exchange)
 
         await world.add_upstream(fail_once)
         await world.add_upstream(fail_once)
@@ -65,20 +67,20 @@
         assert (await world.call()).status == status
         assert len(ran) == runs
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_request_that_was_not_executed_is_sent_elsewhere(tmp_path):
+def test_a_request_that_was_not_executed_is_retried_elsewhere(tmp_path):
     async def main(world):
         refused = []
 
         async def refuse_once(exchange):
             if not refused:
                 refused.append(1)
-                headers = routed_world.echo_headers(exchange, **{NAMES.not_executed: "1"})
+                headers = routed_harness.echo_headers(exchange, **{NAMES.not_executed: "1"})
                 await exchange.respond(503, headers, b"full")
                 return
-            await routed_world.answer_plainly(exchange)
+            await routed_harness.answer_plainly(exchange)
 
         await world.add_upstream(refuse_once)
         await world.add_upstream(refuse_once)
@@ -86,10 +88,10 @@
         await world.until_upstreams(2)
         assert (await world.call()).status == 200
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_success_that_belongs_to_another_request_is_not_passed_on(tmp_path):
+def test_a_response_to_another_request_is_not_passed_on(tmp_path):
     async def main(world):
         async def answer_another(exchange):
             await exchange.respond(200, {NAMES.attempt_id: "another"}, b"foreign")
@@ -101,7 +103,7 @@
         assert response.status == 502
         assert b"foreign" not in await response.read()
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
 def _event(number):
@@ -111,7 +113,7 @@
 def _stream(events, *, break_after=None):
     async def answer(exchange):
         first = int(exchange.head.headers.get(NAMES.last_event_id, "0")) + 1
-        headers = routed_world.echo_headers(exchange, **{"content-type": "text/event-stream"})
+        headers = routed_harness.echo_headers(exchange, **{"content-type": "text/event-stream"})
         await exchange.begin(200, headers)
         for number in range(first, events + 1):
             if break_after is not None and number > break_after:
@@ -124,7 +126,7 @@
     return answer
 
 
-def test_a_broken_stream_goes_on_at_another_upstream(tmp_path):
+def test_a_broken_stream_resumes_at_another_upstream(tmp_path):
     async def main(world):
         answers = [_stream(5, break_after=2), _stream(5)]
 
@@ -138,10 +140,10 @@
         response = await world.call()
         assert await response.read() == b"".join(_event(number) for number in range(1, 6))
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_stream_that_falls_silent_goes_on_at_another_upstream(tmp_path):
+def test_a_stalled_stream_resumes_at_another_upstream(tmp_path):
     async def main(world):
         answers = [_stall, _stream(3)]
 
@@ -156,10 +158,10 @@
         assert await response.read() == b"".join(_event(number) for number in range(1, 4))
         assert first.cancelled + second.cancelled == 1
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_broken_stream_that_can_not_go_on_does_not_look_complete(tmp_path):
+def test_a_broken_stream_that_can_not_resume_does_not_look_complete(tmp_path):
     async def main(world):
         upstream = await world.add_upstream(_stream(5, break_after=2))
         await world.put_routing(kind="streaming")
@@ -169,11 +171,11 @@
             await response.read()
         assert len(upstream.seen) == 1
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
 async def _stall(exchange):
-    headers = routed_world.echo_headers(exchange, **{"content-type": "text/event-stream"})
+    headers = routed_harness.echo_headers(exchange, **{"content-type": "text/event-stream"})
     await exchange.begin(200, headers)
     await exchange.send(_event(1))
     await curio.sleep(60)
@@ -203,9 +205,7 @@
     return collected
 
 
-def test_a_stream_that_outlasts_its_route_is_cut_when_nobody_waits_for_it_any_more(
-    tmp_path, cut_while_waited_for
-):
+def test_a_stream_past_its_timeout_is_aborted_after_all_tasks_ended(tmp_path, cut_while_waited_for):
     # Cutting from a task beside the one that waits for the caller's end once ended the process: the
     # next connection got the closed descriptor's number, and the kernel mixed the two up.
 
@@ -221,10 +221,10 @@
         await curio_world.until(lambda: upstream.cancelled == 4)
         assert cut_while_waited_for == []
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_an_answer_that_does_not_come_in_time_is_given_up_at_the_timeout(tmp_path):
+def test_a_request_without_an_answer_fails_at_the_timeout(tmp_path):
     async def main(world):
         async def sleep(exchange):
             await curio.sleep(60)
@@ -235,10 +235,10 @@
         assert (await world.call()).status == 504
         await curio_world.until(lambda: upstream.cancelled == 1)
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_the_upstream_stops_when_the_caller_has_gone(tmp_path):
+def test_the_upstream_request_is_cancelled_when_the_caller_disconnects(tmp_path):
     async def main(world):
         upstream = await world.add_upstream(_stall)
         await world.put_routing(kind="streaming")
@@ -247,10 +247,10 @@
         await response.close()
         await curio_world.until(lambda: upstream.cancelled == 1)
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_leaving_upstream_gets_nothing_once_that_is_acknowledged(tmp_path):
+def test_a_leaving_upstream_gets_no_request_after_the_acknowledgement(tmp_path):
     async def main(world):
         first = await world.add_upstream()
         second = await world.add_upstream()
@@ -264,10 +264,10 @@
         assert first.seen == []
         assert len(second.seen) == 6
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_requests_go_on_without_the_leader(tmp_path):
+def test_requests_are_served_without_the_leader(tmp_path):
     async def main(world):
         upstream = await world.add_upstream()
         await world.put_routing()
@@ -279,12 +279,12 @@
             await curio.sleep(0.1)
         assert len(upstream.seen) == 5
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_the_directory_names_a_ready_entry_host_and_not_a_stopping_one(tmp_path):
+def test_the_directory_lists_a_ready_entry_host_but_not_a_stopping_one(tmp_path):
     async def main(world):
-        port = routed_world.DIRECTORY_PORT
+        port = routed_harness.DIRECTORY_PORT
         assert (await world.ask_control(0, "GET", "/v1/entries?zone=z1", port=port))[0] == 503
         await world.put_routing()
         for _ in range(100):
@@ -292,17 +292,17 @@
             if status == 200:
                 break
             await curio.sleep(0.05)
-        assert json.loads(body)["addresses"] == [f"{world.network}.50:{routed_world.ENTRY_PORT}"]
+        assert json.loads(body)["addresses"] == [f"{world.network}.50:{routed_harness.ENTRY_PORT}"]
         stopping = await curio.spawn(world.entry.stop)
         await curio.sleep(0.3)
         assert (await world.ask_control(1, "GET", "/v1/entries?zone=z1", port=port))[0] == 503
         assert (await world.call("/none/")).status == 404
         await stopping.join()
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_versions_only_go_up_and_invalid_ones_change_nothing(tmp_path):
+def test_routing_versions_only_increase_and_invalid_ones_change_nothing(tmp_path):
     async def main(world):
         await world.put_routing(5)
         for version, changes, expected in (
@@ -311,16 +311,19 @@
             (9, {"timeout_ms": 0}, 400),
             (9, {"targets": [{"service": "nobody"}]}, 400),
         ):
-            body = json.dumps(routed_world.routing_body(version, **changes))
+            body = json.dumps(routed_harness.routing_body(version, **changes))
             assert (await world.ask_control(1, "PUT", "/v1/routing", body))[0] == expected
         assert (await world.ask_control(2, "PUT", "/v1/routing", '{"version": 9'))[0] == 400
         status, body = await world.ask_control(2, "GET", "/v1/routing")
-        assert (status, json.loads(body)) == (200, routed_world.routing_body(5) | {"accounts": []})
+        assert (status, json.loads(body)) == (
+            200,
+            routed_harness.routing_body(5) | {"accounts": []},
+        )
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_replica_with_an_empty_disk_joins_and_an_added_one_too(tmp_path):
+def test_a_replica_with_an_empty_disk_and_an_added_one_join(tmp_path):
     async def main(world):
         await world.put_routing(3)
         lost, *_ = (item for item in world.replica_ids if item != world.leader())
@@ -337,10 +340,10 @@
 
         await curio_world.until(lambda: set(voters()) == {*world.replica_ids, added})
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
 
 
-def test_a_coordinator_tells_its_health_and_counts_what_it_decides(tmp_path):
+def test_a_coordinator_reports_its_health_and_counts_its_decisions(tmp_path):
     async def main(world):
         await world.add_upstream()
         await world.put_routing()
@@ -348,7 +351,7 @@
         await world.call()
         texts = []
         for replica_id in world.replica_ids:
-            base = f"http://{replica_id}:{routed_world.HEALTH_PORT}"
+            base = f"http://{replica_id}:{routed_harness.HEALTH_PORT}"
             response = await world.client.request(base, "GET", "/", {}, b"", timeout_s=2.0)
             assert (response.status, await response.read()) == (200, b"ready\n")
             metrics = await world.client.request(base, "GET", "/metrics", {}, b"", timeout_s=2.0)
@@ -362,4 +365,4 @@
         assert "medlar_placement_wait_seconds_bucket" in whole
         assert "medlar_operation_time_seconds_bucket" in whole
 
-    routed_world.run(tmp_path, main)
+    routed_harness.run(tmp_path, main)
--- a/tests/routed/test_routing_state.py
+++ b/tests/routed/test_routing_state.py
@@ -20,7 +20,7 @@
     assert (state.current.version, state.current.body) == (5, b"five")
 
 
-def test_held_requests_survive_a_snapshot_until_they_are_let_go(state):
+def test_held_requests_survive_a_snapshot_until_they_are_released(state):
     held = routing_state.HeldRequest("k-1", ("u-1", "u-2", "u-3"))
     assert state.apply(routing_state.pack_held(held)) == held
     restored = routing_state.RoutingState()
@@ -32,18 +32,18 @@
     assert restored.held_by_key == {}
 
 
-def test_a_snapshot_from_before_requests_were_held_is_read(state):
+def test_a_snapshot_without_held_requests_is_restored(state):
     before = codec.Codec((routing_state.RoutingVersion,)).pack(state.current)
     restored = routing_state.RoutingState()
     restored.restore(before)
     assert restored.current.version == 5
 
 
-def test_the_log_keeps_so_many_held_requests_and_no_more(state):
-    for number in range(routing_state.MOST_HELD + 5):
+def test_the_number_of_held_requests_is_bounded(state):
+    for number in range(routing_state.MAX_HELD + 5):
         held = routing_state.HeldRequest(f"k-{number}", ())
         state.apply(routing_state.pack_held(held))
-    assert len(state.held_by_key) == routing_state.MOST_HELD
+    assert len(state.held_by_key) == routing_state.MAX_HELD
     assert "k-4" not in state.held_by_key
 
 
--- a/tests/routed/test_shards.py
+++ b/tests/routed/test_shards.py
@@ -11,7 +11,7 @@
     shard_choice,
 )
 from medlarfork.routes import routing
-from tests.routed import placing
+from tests.routed import placement_helpers
 
 
 def test_the_shards_of_a_large_service_share_its_engines_and_its_load(make_announcement):
@@ -35,7 +35,7 @@
     assert shard_choice.choose("any", shard_choice.sizes("none", few), "none")[0].service == "none"
 
 
-def test_a_key_has_the_same_second_shard_each_time_and_all_shards_are_second(make_announcement):
+def test_a_key_always_has_the_same_alternative_shard(make_announcement):
     engines = [make_announcement(f"u-{n}") for n in range(45)]
     sizes = shard_choice.sizes("engines", engines)
     chosen = [shard_choice.choose(f"matter-{n}", sizes, "engines") for n in range(200)]
@@ -59,7 +59,7 @@
     assert shard_choice.owners("service", 3, ()) == ()
 
 
-def test_an_engine_that_leaves_moves_few_matters(make_announcement):
+def test_an_engine_that_leaves_moves_few_keys(make_announcement):
     engines = [make_announcement(f"u-{n}") for n in range(45)]
     before = shard_choice.sizes("engines", engines)
     after = shard_choice.sizes("engines", engines[1:])
@@ -96,7 +96,7 @@
     assert all(one == two for one, two in zip(*owners, strict=False))
 
 
-def test_one_part_more_takes_its_keys_from_all_others_evenly():
+def test_an_added_shard_takes_its_keys_from_all_others_evenly():
     keys = [f"k{n}" for n in range(4000)]
     for parts in (1, 2, 5, 11):
         later = {key: rendezvous.jump(key, parts + 1) for key in keys}
@@ -105,40 +105,42 @@
         assert {later[key] for key in moved} == {parts}
 
 
-def test_an_owner_still_knows_what_its_engines_hold_when_there_are_more_parts(
-    make_announcement, make_question
+def test_an_owner_keeps_its_cache_estimates_when_a_shard_is_added(
+    make_announcement, make_place_request
 ):
-    whole = owner.Owner()
-    whole.use_services((routing.Service("engines", "/", 9, placing.ENGINE),))
+    whole = owner.PlacementOwner()
+    whole.use_services((routing.Service("engines", "/", 9, placement_helpers.ENGINE),))
     engines = tuple(make_announcement(f"u-{n}", slots=9) for n in range(24))
     whole.use_upstreams(engines, 0.0)
     names = {n for n in range(24) if rendezvous.jump(f"u-{n}", 3) == 0}
     assert names
     for count in (2, 3):
         shard = placement_messages.Shard("engines", 0, count)
-        asked = make_question(f"t-{count}", placing.LONG[:2], shard=shard, left_ms=9000.0)
+        asked = make_place_request(
+            f"t-{count}", placement_helpers.LONG[:2], shard=shard, left_ms=9000.0
+        )
         (sent,) = whole.handle("e", asked, float(count))
         assert shard.has(sent.message.upstream_id)
-        ended = placing.ended(f"t-{count}")
+        ended = placement_helpers.ended(f"t-{count}")
         whole.handle("e", ended, count + 0.5)
-    placed = [answer.grounds.cost for answer in whole.take_decisions()]
+    placed = [answer.decision_inputs.cost for answer in whole.drain_decisions()]
     first = next(iter(whole._owner_by_shard.values()))
     assert len(whole._owner_by_shard) == 1
     assert len(first.load_by_id) >= len(names)
     # The second prompt is the first one's: read again only if its engine has changed the part.
-    assert placed[0].read_tokens == 5500
-    assert placed[1].read_tokens in (0, 5500)
+    assert placed[0].prefill_tokens == 5500
+    assert placed[1].prefill_tokens in (0, 5500)
 
 
-def test_the_end_of_an_older_question_brings_back_no_older_number_of_parts(
-    make_announcement, make_question
+def test_the_end_of_an_older_request_restores_no_older_shard_count(
+    make_announcement, make_place_request
 ):
     """Streams last for seconds: their ends came with the number of parts at their beginning."""
-    whole = owner.Owner()
+    whole = owner.PlacementOwner()
     whole.use_upstreams(tuple(make_announcement(f"u-{n}", slots=9) for n in range(40)), 0.0)
     older, newer = (placement_messages.Shard("engines", 0, count) for count in (2, 4))
-    whole.handle("e", make_question("old", (("x", 9),), shard=older, left_ms=9000.0), 0.0)
-    whole.handle("e", make_question("new", (("y", 9),), shard=newer, left_ms=9000.0), 0.1)
+    whole.handle("e", make_place_request("old", (("x", 9),), shard=older, left_ms=9000.0), 0.0)
+    whole.handle("e", make_place_request("new", (("y", 9),), shard=newer, left_ms=9000.0), 0.1)
 
     def present():
         (shard_owner,) = whole._owner_by_shard.values()
@@ -148,42 +150,40 @@
     assert present() == expected
     whole.handle("e", placement_messages.FirstEvent("old", 9.0), 0.2)
     assert present() == expected
-    whole.handle("e", placing.ended("old"), 0.3)
+    whole.handle("e", placement_helpers.ended("old"), 0.3)
     assert present() == expected
 
 
 def test_an_owner_places_only_on_the_engines_of_the_shard_that_was_asked(
-    make_announcement, make_question
+    make_announcement, make_place_request
 ):
-    whole = owner.Owner()
+    whole = owner.PlacementOwner()
     whole.use_upstreams(tuple(make_announcement(f"u-{n}", slots=9) for n in range(40)), 0.0)
     for index in range(3):
         shard = placement_messages.Shard("engines", index, 3)
         for n in range(30):
-            asked = make_question(f"t{index}-{n}", shard=shard)
+            asked = make_place_request(f"t{index}-{n}", shard=shard)
             (answer,) = whole.handle("e", asked, 0.0)
             assert shard.has(answer.message.upstream_id)
 
 
-def test_the_owner_of_a_shard_that_nobody_asks_for_is_dropped(make_announcement, make_question):
-    whole = owner.Owner()
+def test_the_owner_of_an_idle_shard_is_removed(make_announcement, make_place_request):
+    whole = owner.PlacementOwner()
     whole.use_upstreams((make_announcement(),), 0.0)
-    whole.handle("e", make_question("t"), 0.0)
-    whole.tidy(owner.FORGET_S - 1.0)
+    whole.handle("e", make_place_request("t"), 0.0)
+    whole.tidy(owner.IDLE_SHARD_S - 1.0)
     assert whole._owner_by_shard
-    whole.tidy(owner.FORGET_S + 1.0)
+    whole.tidy(owner.IDLE_SHARD_S + 1.0)
     assert not whole._owner_by_shard
     assert not whole._shard_by_ticket
 
 
-def test_the_tickets_of_a_dropped_shard_go_while_another_shard_stays(
-    make_announcement, make_question
-):
-    whole = owner.Owner()
+def test_the_tickets_of_a_removed_shard_are_removed(make_announcement, make_place_request):
+    whole = owner.PlacementOwner()
     whole.use_upstreams(tuple(make_announcement(f"u-{n}", slots=9) for n in range(20)), 0.0)
-    for index, asked_at in ((0, 0.0), (1, owner.FORGET_S)):
+    for index, asked_at in ((0, 0.0), (1, owner.IDLE_SHARD_S)):
         shard = placement_messages.Shard("engines", index, 2)
-        asked = make_question(f"t{index}", shard=shard, left_ms=90_000.0)
+        asked = make_place_request(f"t{index}", shard=shard, left_ms=90_000.0)
         whole.handle("e", asked, asked_at)
-    whole.tidy(owner.FORGET_S + 1.0)
+    whole.tidy(owner.IDLE_SHARD_S + 1.0)
     assert set(whole._shard_by_ticket) == {"t1"}
--- a/tests/routed/test_signal_ledger.py
+++ b/tests/routed/test_signal_ledger.py
@@ -22,40 +22,40 @@
 
 
 def test_a_limit_ends_with_an_answer_that_names_none(ledger):
-    assert ledger.note_answer("u-1", 2.0, sent_at=0.0, now=1.0)
+    assert ledger.record_response("u-1", 2.0, sent_at=0.0, now=1.0)
     assert ledger.rate("u-1") == 2.0
-    assert ledger.note_answer("u-1", None, sent_at=1.5, now=2.0)
+    assert ledger.record_response("u-1", None, sent_at=1.5, now=2.0)
     assert ledger.rate("u-1") is None
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit(ledger):
-    ledger.note_answer("u-1", 2.0, sent_at=0.0, now=1.0)
-    assert not ledger.note_answer("u-1", None, sent_at=0.9, now=1.2)
+def test_a_response_that_was_overtaken_ends_no_limit(ledger):
+    ledger.record_response("u-1", 2.0, sent_at=0.0, now=1.0)
+    assert not ledger.record_response("u-1", None, sent_at=0.9, now=1.2)
     assert ledger.rate("u-1") == 2.0
 
 
-def test_a_report_that_was_under_way_for_long_ends_no_limit_that_was_named_meanwhile(ledger):
+def test_a_delayed_report_ends_no_limit_that_was_stated_meanwhile(ledger):
     """Its age is reckoned from its arrival, which makes it as much younger as it was under way."""
     slow = signal_ledger.SignalLedger()
-    slow.note_answer("u-1", 2.0, sent_at=0.0, now=1.0)
-    slow.note_answer("u-1", None, sent_at=5.0, now=5.05)
+    slow.record_response("u-1", 2.0, sent_at=0.0, now=1.0)
+    slow.record_response("u-1", None, sent_at=5.0, now=5.05)
     ended = slow.report(("u-1",), 5.05)
-    ledger.note_answer("u-1", 2.0, sent_at=5.0, now=5.1)
+    ledger.record_response("u-1", 2.0, sent_at=5.0, now=5.1)
     ledger.merge(ended, 5.25)
     assert ledger.rate("u-1") == 2.0
 
 
-def test_an_upstream_that_names_no_limit_costs_nothing(ledger):
-    assert not ledger.note_answer("u-1", None, sent_at=0.0, now=1.0)
+def test_an_upstream_without_limit_is_not_stored(ledger):
+    assert not ledger.record_response("u-1", None, sent_at=0.0, now=1.0)
     assert ledger.is_empty
 
 
-def test_a_late_report_of_a_limit_that_ended_does_not_bring_it_back(ledger):
+def test_a_late_report_does_not_revive_an_ended_limit(ledger):
     other = signal_ledger.SignalLedger()
-    other.note_answer("u-1", 2.0, sent_at=0.0, now=1.0)
+    other.record_response("u-1", 2.0, sent_at=0.0, now=1.0)
     late = other.report(("u-1",), 1.0)
     ledger.merge(late, 1.0)
-    ledger.note_answer("u-1", None, sent_at=2.0, now=2.5)
+    ledger.record_response("u-1", None, sent_at=2.0, now=2.5)
     kept_back_s = 3.0
     aged = signal_messages.SignalReport(
         tuple(signal_messages.RateLimit(told.upstream_id, told.rate, 3.0) for told in late.limits)
@@ -65,35 +65,35 @@
     assert ledger.rate("u-1") is None
 
 
-def test_fractions_that_hardly_differ_are_no_news(ledger):
-    ledger.note_answer("u-1", 6.9, sent_at=0.0, now=1.0)
-    assert not ledger.note_answer("u-1", 6.8, sent_at=1.0, now=2.0)
-    assert ledger.note_answer("u-1", 3.0, sent_at=2.0, now=3.0)
+def test_a_small_change_of_a_limit_is_no_update(ledger):
+    ledger.record_response("u-1", 6.9, sent_at=0.0, now=1.0)
+    assert not ledger.record_response("u-1", 6.8, sent_at=1.0, now=2.0)
+    assert ledger.record_response("u-1", 3.0, sent_at=2.0, now=3.0)
 
 
-def test_a_limit_that_is_named_for_long_is_told_again_before_others_forget_it(ledger):
+def test_a_lasting_limit_is_reported_again_before_others_evict_it(ledger):
     """Only its host's ledger knew that it was still named; the owner of placement let it go."""
     other = signal_ledger.SignalLedger()
     for minute in range(40):
         now = 60.0 * minute + 1.0
-        if ledger.note_answer("u-1", 2.0, sent_at=now - 1.0, now=now):
+        if ledger.record_response("u-1", 2.0, sent_at=now - 1.0, now=now):
             other.merge(ledger.report(("u-1",), now), now)
         other.tidy(now)
         assert other.rate("u-1") == 2.0
 
 
-def test_words_are_forgotten_with_their_upstreams(ledger):
-    ledger.note_answer("u-1", 6.9, sent_at=0.0, now=1.0)
-    ledger.tidy(1.0 + signal_ledger.LIMIT_S)
+def test_signals_are_evicted_with_their_upstreams(ledger):
+    ledger.record_response("u-1", 6.9, sent_at=0.0, now=1.0)
+    ledger.tidy(1.0 + signal_ledger.LIMIT_RETENTION_S)
     assert not ledger.is_empty
-    ledger.tidy(1.1 + signal_ledger.LIMIT_S)
+    ledger.tidy(1.1 + signal_ledger.LIMIT_RETENTION_S)
     assert ledger.is_empty
 
 
-def test_the_number_of_words_is_bounded(ledger):
-    for number in range(signal_ledger.MOST_LIMITS + 5):
-        ledger.note_answer(f"u-{number}", 1.0, sent_at=0.0, now=float(number))
-    assert ledger.limited == signal_ledger.MOST_LIMITS
+def test_the_number_of_limits_is_bounded(ledger):
+    for number in range(signal_ledger.MAX_LIMITS + 5):
+        ledger.record_response(f"u-{number}", 1.0, sent_at=0.0, now=float(number))
+    assert ledger.limited == signal_ledger.MAX_LIMITS
 
 
 @hypothesis.given(WORDS, st.randoms())
@@ -134,5 +134,5 @@
         (("", "", "1e9"), upstream_signals.UpstreamSignals(pause_s=3600.0)),
     ],
 )
-def test_what_an_answer_says_is_read_and_what_makes_no_sense_is_not(headers, expected):
+def test_valid_headers_are_parsed_and_invalid_ones_are_ignored(headers, expected):
     assert upstream_signals.parse(*headers) == expected
--- a/tests/routed/test_spillover.py
+++ b/tests/routed/test_spillover.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from medlarfork.placement import placement_messages, service_owner, spillover
+from medlarfork.placement import placement_messages, shard_owner, spillover
 from medlarfork.routes import routing
-from tests.routed import placing
+from tests.routed import placement_helpers
 
 HOME = placement_messages.Shard("engines", 0, 2)
 OTHER = placement_messages.Shard("engines", 1, 2)
@@ -19,7 +19,7 @@
 STEP_MS = 5.0
 
 
-def _long(make_question, ticket_id="t", **changes):
+def _long(make_place_request, ticket_id="t", **changes):
     values = {
         "target_ms": 2500.0,
         "gap_ms": 1000.0,
@@ -27,48 +27,50 @@
         "first_left_ms": 10_000.0,
         "output_tokens": 380,
     }
-    return make_question(ticket_id, placing.LONG, **(values | changes))
+    return make_place_request(ticket_id, placement_helpers.LONG, **(values | changes))
 
 
-def test_a_long_shared_part_waits_for_half_of_its_target_and_for_what_its_reading_costs(
-    make_question,
+def test_a_long_shared_prefix_waits_for_half_of_its_target_and_its_recomputation(
+    make_place_request,
 ):
-    request = _long(make_question, shard=HOME, other_shard=OTHER)
+    request = _long(make_place_request, shard=HOME, other_shard=OTHER)
     reading_ms = 5500 / TOKENS_PER_MS
-    expected_ms = 1250.0 + spillover.SPILL_READS * reading_ms
-    assert spillover.most_begins_ms(request, TOKENS_PER_MS) == pytest.approx(expected_ms)
+    expected_ms = 1250.0 + spillover.SPILL_RECOMPUTE_FACTOR * reading_ms
+    assert spillover.max_start_ms(request, TOKENS_PER_MS) == pytest.approx(expected_ms)
 
 
-def test_a_short_shared_part_goes_elsewhere_as_soon_as_it_can_not_start(make_question):
-    request = make_question("t", SHORT, target_ms=300.0, shard=HOME, other_shard=OTHER)
-    assert spillover.most_begins_ms(request, TOKENS_PER_MS) == 0.0
+def test_a_short_shared_prefix_spills_as_soon_as_it_can_not_start(make_place_request):
+    request = make_place_request("t", SHORT, target_ms=300.0, shard=HOME, other_shard=OTHER)
+    assert spillover.max_start_ms(request, TOKENS_PER_MS) == 0.0
 
 
-def test_the_other_part_takes_it_only_if_that_gains_more_than_reading_it_there_costs(
-    make_question,
+def test_the_other_shard_accepts_it_only_if_it_gains_more_than_recomputation_costs(
+    make_place_request,
 ):
-    request = _long(make_question, shard=OTHER, other_shard=HOME, begins_within_ms=1500.0)
-    most_ms = spillover.most_begins_ms(request, TOKENS_PER_MS)
-    assert most_ms == pytest.approx(1500.0 - spillover.SPILL_READS * 5500 / TOKENS_PER_MS)
+    request = _long(make_place_request, shard=OTHER, other_shard=HOME, begins_within_ms=1500.0)
+    most_ms = spillover.max_start_ms(request, TOKENS_PER_MS)
+    assert most_ms == pytest.approx(
+        1500.0 - spillover.SPILL_RECOMPUTE_FACTOR * 5500 / TOKENS_PER_MS
+    )
 
 
-def test_a_part_that_was_found_busy_is_not_asked_for_a_while(make_question):
+def test_a_busy_shard_is_not_asked_for_a_while(make_place_request):
     """Replay a burst that fills all parts: each request asked three times."""
     busy = spillover.BusyShards()
-    asked = make_question("t", SHORT, shard=HOME, other_shard=OTHER)
+    asked = make_place_request("t", SHORT, shard=HOME, other_shard=OTHER)
     assert busy.may_ask(asked, 0.0)
-    busy.note(make_question("back", SHORT, shard=HOME, busy_shard=OTHER), 0.0)
+    busy.record(make_place_request("back", SHORT, shard=HOME, busy_shard=OTHER), 0.0)
     assert not busy.may_ask(asked, 0.1)
-    assert busy.may_ask(asked, spillover.BUSY_S + 0.01)
-    second = make_question("s", SHORT, shard=HOME, other_shard=OTHER, begins_within_ms=9.0)
+    assert busy.may_ask(asked, spillover.BUSY_RETENTION_S + 0.01)
+    second = make_place_request("s", SHORT, shard=HOME, other_shard=OTHER, begins_within_ms=9.0)
     assert busy.may_ask(second, 0.1)
-    assert not busy.may_ask(make_question("last", SHORT, shard=HOME), 0.5)
+    assert not busy.may_ask(make_place_request("last", SHORT, shard=HOME), 0.5)
 
 
-def test_an_owner_keeps_nothing_of_a_request_that_goes_elsewhere(make_owner, make_question):
-    service = make_owner(count=1, slots=1)
-    service.place("e", make_question("first", SHORT, target_ms=300.0), 0.0)
-    asked = make_question("second", SHORT, target_ms=300.0, other_shard=OTHER)
+def test_an_owner_keeps_no_state_of_a_request_that_spills(make_shard_owner, make_place_request):
+    service = make_shard_owner(count=1, slots=1)
+    service.place("e", make_place_request("first", SHORT, target_ms=300.0), 0.0)
+    asked = make_place_request("second", SHORT, target_ms=300.0, other_shard=OTHER)
     (answer,) = service.place("e", asked, 0.0)
     assert isinstance(answer.message, placement_messages.Busy)
     assert service.waiting == 0
@@ -83,14 +85,14 @@
         self.shards = [placement_messages.Shard("engines", n, parts) for n in range(parts)]
         self.owners = []
         for part in range(parts):
-            owner = service_owner.ServiceOwner()
+            owner = shard_owner.ShardOwner()
             owner.use_engine(ENGINE)
             names = [f"u-{part}-{n}" for n in range(engines)]
             owner.use_upstreams(
                 {name: make_announcement(name, address=f"{name}:1", slots=12) for name in names}
             )
-            owner.rate.tokens_per_ms = TOKENS_PER_MS
-            owner.rate.step_ms = STEP_MS
+            owner.estimator.tokens_per_ms = TOKENS_PER_MS
+            owner.estimator.step_ms = STEP_MS
             self.owners.append(owner)
         self.due = []
         self.order = itertools.count()
@@ -129,7 +131,7 @@
             match answer.message:
                 case placement_messages.Placed(ticket_id, upstream_id):
                     begins = max(self.read_until.get(upstream_id, now), now)
-                    begins += answer.grounds.cost.read_tokens / TOKENS_PER_MS / 1000.0
+                    begins += answer.decision_inputs.cost.prefill_tokens / TOKENS_PER_MS / 1000.0
                     self.read_until[upstream_id] = begins
                     heapq.heappush(self.due, (begins, next(self.order), ticket_id, False))
                     heapq.heappush(self.due, (begins + 1.5, next(self.order), ticket_id, True))
@@ -141,7 +143,7 @@
             now, _, ticket_id, is_end = heapq.heappop(self.due)
             owner = self.owners[self.part_by_ticket[ticket_id]]
             if is_end:
-                self.take(owner.on_ended(placing.ended(ticket_id), now), now)
+                self.take(owner.on_ended(placement_helpers.ended(ticket_id), now), now)
             else:
                 self.began_ms[ticket_id] = (now - self.asked_at[ticket_id]) * 1000.0
                 first = placement_messages.FirstEvent(ticket_id, 1.0)
@@ -151,8 +153,8 @@
 
 
 @pytest.mark.parametrize("is_hot", [True, False])
-def test_a_burst_about_few_matters_is_served_by_engines_that_have_room(
-    is_hot, make_announcement, make_question
+def test_a_burst_with_few_affinity_keys_is_served_by_engines_with_capacity(
+    is_hot, make_announcement, make_place_request
 ):
     """Replay a burst of long prompts of which a third is about the matters of one of four parts."""
     late = {}
@@ -168,8 +170,8 @@
             other = (part + 1 + matter % 3) % 4 if spills else None
             parts = (("common", 500), (f"m{part}-{matter}", 4900), (f"own-{number}", 6000))
             request = dataclasses.replace(
-                _long(make_question, f"t-{number}"),
-                parts=tuple(placement_messages.PromptPart(*part) for part in parts),
+                _long(make_place_request, f"t-{number}"),
+                parts=tuple(placement_messages.PromptSegment(*part) for part in parts),
             )
             fleet.ask(part, other, request, now)
         for step in range(600):
@@ -182,7 +184,9 @@
         assert late[True] < 0.5 * late[False]
 
 
-def test_where_all_parts_are_full_few_requests_ask_more_than_once(make_announcement, make_question):
+def test_where_all_shards_are_full_few_requests_ask_more_than_once(
+    make_announcement, make_place_request
+):
     fleet = _Fleet(make_announcement, parts=4, engines=2)
     draw = random.Random(7)
     now = 0.0
@@ -190,7 +194,7 @@
         now += draw.expovariate(400.0)
         fleet.run_until(now)
         part = draw.randrange(4)
-        request = make_question(
+        request = make_place_request(
             f"t-{number}",
             (("common", 120), (f"m{part}", 80), (f"own-{number}", 630)),
             target_ms=300.0,
--- a/tests/routed/test_status_pace.py
+++ b/tests/routed/test_status_period.py
@@ -3,17 +3,17 @@
 import pytest
 
 from medlarfork import node
-from medlarfork.coordination import coordination_messages, status_pace
+from medlarfork.coordination import coordination_messages, status_period
 from tests.routed import coordinator_cluster
 
 
 @pytest.mark.parametrize(("hosts", "period_s"), [(1, 0.4), (60, 0.4), (228, 0.76), (1000, 0.8)])
-def test_only_large_fleets_tell_less_often(hosts, period_s):
-    assert status_pace.period_s(hosts) == pytest.approx(period_s)
+def test_only_large_fleets_have_a_longer_period(hosts, period_s):
+    assert status_period.period_s(hosts) == pytest.approx(period_s)
 
 
 @pytest.mark.parametrize(("hosts", "most"), [(9, 12), (228, 7)])
-def test_a_replica_tells_each_host_so_often(hosts, most):
+def test_a_replica_sends_each_host_a_bounded_number_of_statuses(hosts, most):
     """Replay 228 hosts beside 9: statuses were half of what hosts of large fleets computed."""
     cluster = coordinator_cluster.Cluster()
     cluster.run(4.0)
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("hosts", "silent_s"), [(9, 1.5), (228, 1.9)])
-def test_a_host_that_is_silent_is_named_for_two_periods_and_a_half(hosts, silent_s):
+def test_a_silent_host_is_listed_for_two_and_a_half_periods(hosts, silent_s):
     cluster = coordinator_cluster.Cluster(seeds=("a",), others=())
     cluster.run(2.0)
     _hear(cluster, hosts)
--- a/tests/routed/test_suspect_runs.py
+++ b/tests/routed/test_suspect_requests.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from medlarfork.gateway import request_run, request_types
+from medlarfork.gateway import request_pipeline, request_types
 from medlarfork.placement import placement_messages
 from medlarfork.quarantine import crash_ledger
 from tests import curio_world
@@ -27,7 +27,7 @@
     async def is_suspect(self, key, upstream_id, own_breaks):
         return self.standing(key).verdict is crash_ledger.Verdict.HELD
 
-    def run_given_up(self, key, upstream):
+    def record_abandoned_run(self, key, upstream):
         pass
 
 
@@ -84,7 +84,7 @@
             parts=(), output_tokens=0, last_event_id="", attempt_id="a-1", deadline_ms=None
         )
         now = time.monotonic()
-        admitted = request_types.Admitted(
+        admitted = request_types.AdmittedRequest(
             exchange, facts, make_route(), "k", "engines", "shop", 0, b"", now, now + 5.0
         )
         tools = types.SimpleNamespace(
@@ -95,7 +95,7 @@
             find_upstream=find_upstream,
             backpressure=types.SimpleNamespace(may_send=lambda upstream_id: True),
         )
-        curio_world.run(request_run.RequestRun(admitted, tools).serve)
+        curio_world.run(request_pipeline.RequestPipeline(admitted, tools).serve)
         return exchange
 
     return serve_one
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize(
     "standings", [(HELD,), (FREE, HELD), (TRIAL, HELD)], ids=["held", "from free", "on trial"]
 )
-def test_a_request_that_is_held_meanwhile_is_refused_and_not_sent(serve, owner, standings):
+def test_a_request_held_while_it_waits_is_refused_and_not_sent(serve, owner, standings):
     exchange = serve(*standings)
     assert exchange.status == 503
     assert float(exchange.headers["Retry-After"]) == 30.0
@@ -120,15 +120,13 @@
     ("standings", "asked"),
     [((FREE,), [""]), ((TRIAL,), ["k"]), ((TRIAL, FREE), ["k"]), ((FREE, TRIAL), ["", "k"])],
 )
-def test_a_suspect_is_sent_only_with_the_leave_for_a_trial(serve, owner, standings, asked):
+def test_a_suspect_request_is_sent_only_on_a_granted_trial(serve, owner, standings, asked):
     with pytest.raises(SentError):
         serve(*standings)
     assert owner.asked == asked
 
 
-def test_a_suspect_waits_while_another_one_like_it_is_on_trial_and_goes_on_once_cleared(
-    serve, owner
-):
+def test_a_suspect_request_waits_for_the_trial_of_another_and_runs_once_cleared(serve, owner):
     """Those that many callers send were refused while the first of them proved them sound."""
     owner.refuses_trials = True
     with pytest.raises(SentError):
@@ -136,22 +134,22 @@
     assert owner.asked == ["k", "k", ""]
 
 
-def test_a_suspect_is_refused_once_it_has_waited_long_enough(serve, owner, monkeypatch):
-    monkeypatch.setattr(request_run, "TRIAL_WAIT_S", 0.25)
+def test_a_suspect_request_is_refused_after_the_maximum_trial_wait(serve, owner, monkeypatch):
+    monkeypatch.setattr(request_pipeline, "TRIAL_WAIT_S", 0.25)
     owner.refuses_trials = True
     exchange = serve(TRIAL)
     assert exchange.status == 503
     assert 2 <= len(owner.asked) <= 5
 
 
-def test_a_suspect_that_is_refused_for_another_reason_is_told_at_once(serve, owner):
+def test_a_suspect_request_refused_for_another_reason_does_not_wait(serve, owner):
     owner.refuses_trials = True
     owner.cause = placement_messages.RefusalCause.OVERLOAD
     assert serve(TRIAL).status == 503
     assert owner.asked == ["k"]
 
 
-def test_a_suspect_that_is_held_meanwhile_is_told_at_once(serve, owner):
+def test_a_suspect_request_that_becomes_held_does_not_wait(serve, owner):
     owner.refuses_trials = True
     exchange = serve(TRIAL, HELD)
     assert float(exchange.headers["Retry-After"]) == 30.0
@@ -171,7 +169,9 @@
         raise SentError
 
 
-def test_a_request_that_lost_one_upstream_goes_on_when_others_like_it_lost_another(serve, owner):
+def test_a_request_with_one_broken_run_is_retried_on_trial_after_a_crash_under_another(
+    serve, owner
+):
     """It got 502 after its second upstream had refused the connection; the next would serve it."""
     with pytest.raises(SentError):
         serve(FREE, FREE, TRIAL, find_upstream=Breaking().find)
--- a/tests/routed/test_upstream_registry.py
+++ b/tests/routed/test_upstream_registry.py
@@ -28,8 +28,8 @@
 
 def test_a_silent_upstream_is_dropped_and_comes_back(registry, make_announcement):
     registry.announce(make_announcement(), 0.0)
-    assert registry.take_silent(3.0).is_empty
-    assert registry.take_silent(4.0).silent == ("u-1",)
+    assert registry.mark_silent(3.0).is_empty
+    assert registry.mark_silent(4.0).silent == ("u-1",)
     assert registry.announce(make_announcement(sequence=9), 5.0).present
 
 
@@ -41,21 +41,21 @@
     assert [item.upstream_id for item in registry.present] == ["new"]
 
 
-def test_a_late_word_of_a_silent_incarnation_does_not_displace_its_successor(
+def test_a_late_announcement_of_a_silent_incarnation_does_not_displace_its_successor(
     registry, make_announcement
 ):
     registry.announce(make_announcement("old"), 0.0)
-    registry.take_silent(10.0)
+    registry.mark_silent(10.0)
     registry.announce(make_announcement("new"), 11.0)
     assert registry.announce(make_announcement("old", sequence=9), 12.0).is_empty
     assert [item.upstream_id for item in registry.present] == ["new"]
 
 
-def test_what_left_is_remembered_for_long_and_not_for_ever(registry, make_announcement):
+def test_a_left_incarnation_is_remembered_for_a_bounded_time(registry, make_announcement):
     registry.withdraw("u-1", 0.0)
-    registry.take_silent(upstream_registry.REMEMBER_GONE_S - 1)
+    registry.mark_silent(upstream_registry.GONE_RETENTION_S - 1)
     assert registry.announce(make_announcement(), 1.0).is_empty
-    registry.take_silent(upstream_registry.REMEMBER_GONE_S + 1)
+    registry.mark_silent(upstream_registry.GONE_RETENTION_S + 1)
     assert registry.whole().left == ()
 
 
@@ -65,9 +65,7 @@
     return make_announcement(upstream_id, name=name, born_ms=born_ms, **changes)
 
 
-def test_an_upstream_that_starts_again_under_its_name_counts_from_then_on(
-    registry, make_announcement
-):
+def test_a_restart_under_the_same_name_replaces_the_older_start(registry, make_announcement):
     before = started(make_announcement, 1000, sequence=50)
     registry.announce(before, 0.0)
     again = started(make_announcement, 2000, sequence=1, address="10.0.0.2:80")
@@ -83,12 +81,12 @@
     newer = started(make_announcement, 2000)
     registry.announce(newer, 0.0)
     assert registry.announce(started(make_announcement, 1000, name=name), 1.0).is_empty
-    registry.take_silent(10.0)
+    registry.mark_silent(10.0)
     assert registry.announce(started(make_announcement, 1000, name=name), 11.0).is_empty
     assert registry.announce(newer, 12.0).present == (newer,)
 
 
-def test_a_start_that_left_does_not_keep_the_next_one_out(registry, make_announcement):
+def test_a_start_that_left_does_not_block_the_next_one(registry, make_announcement):
     before = started(make_announcement, 1000)
     registry.announce(before, 0.0)
     assert registry.withdraw("u-1", 1.0).left == (before.upstream_id, "u-1")
--- a/tests/routed/test_upstream_view.py
+++ b/tests/routed/test_upstream_view.py
@@ -5,7 +5,7 @@
     return upstream_types.ViewChange(present, left=left, is_whole=True)
 
 
-def test_an_upstream_counts_while_one_replica_lists_it(make_announcement):
+def test_an_upstream_is_usable_while_one_replica_lists_it(make_announcement):
     view = upstream_view.UpstreamView()
     view.apply("a", _whole(make_announcement()))
     view.apply("b", _whole())
@@ -23,13 +23,13 @@
     assert view.by_id == {}
 
 
-def test_a_lost_replica_takes_its_upstreams_along_unless_it_was_the_only_one(make_announcement):
+def test_a_removed_replica_takes_its_upstreams_along_unless_it_was_the_only_one(make_announcement):
     view = upstream_view.UpstreamView()
     view.apply("a", _whole(make_announcement()))
-    assert view.forget_replica("a") == ()
+    assert view.remove_replica("a") == ()
     assert set(view.by_id) == {"u-1"}
     view.apply("b", _whole())
-    assert view.forget_replica("a") == ("u-1",)
+    assert view.remove_replica("a") == ("u-1",)
 
 
 def test_of_two_starts_of_an_upstream_the_later_one_counts(make_announcement):
@@ -46,7 +46,7 @@
     assert set(view.by_id) == {"u-1@2", "u-2@3"}
 
 
-def test_what_another_replica_told_before_makes_no_other_view(make_announcement):
+def test_a_change_that_another_replica_reported_before_keeps_the_view(make_announcement):
     view = upstream_view.UpstreamView()
     view.apply("a", _whole(make_announcement()))
     told = view.by_id
--- a/tests/test_claim_table.py
+++ b/tests/test_claim_table.py
@@ -7,7 +7,7 @@
 import pytest
 
 from medlarfork import claim, uuid7
-from medlarfork.control import _claim_shares, _claim_table
+from medlarfork.control import _claim_quotas, _claim_table
 
 _Verdict = claim.Verdict
 
@@ -62,7 +62,7 @@
     assert len(table) < 800
 
 
-def test_a_part_is_free_for_a_quiet_account_while_others_come_and_go(table):
+def test_the_reservation_of_a_quiet_account_is_never_used_by_others(table):
     for account in "abc":
         _fill(table, account)
     for round_ in range(3):
@@ -74,26 +74,26 @@
     assert _fill(table, "quiet") >= 100
 
 
-def test_shares_are_given_back(table):
+def test_expired_claims_free_the_quota(table):
     assert _fill(table, "a", 0) == 300
     table.expire(5000)
     assert len(table) == 0
     assert _fill(table, "b", 5000) == 300
 
 
-def test_more_accounts_than_parts_never_exceed_the_limit(table):
+def test_more_accounts_than_reservations_never_exceed_the_limit(table):
     total = sum(_fill(table, f"account {number}") for number in range(20))
     assert total == len(table) == 800
 
 
-def test_account_numbers_are_used_again_the_lowest_first():
-    shares = _claim_shares.ClaimShares(claims=10, accounts=1)
+def test_account_numbers_are_reused_the_lowest_first():
+    shares = _claim_quotas.ClaimQuotas(claims=10, accounts=1)
     for name in "abc":
         shares.add(shares.number_of(name))
     for number in (2, 0):
         shares.remove(number)
     assert shares.names == ("", "b", "")
-    copy = _claim_shares.ClaimShares(claims=10, accounts=1, names=shares.names)
+    copy = _claim_quotas.ClaimQuotas(claims=10, accounts=1, names=shares.names)
     copy.add(1)
     assert [item.number_of("d") for item in (shares, copy)] == [0, 0]
 
@@ -112,7 +112,7 @@
         assert _ask(table, key, now_ms, _holder("r2")) is verdict, now_ms
 
 
-def test_a_key_that_was_out_of_time_stays_refused_when_retention_is_made_longer(table, limits):
+def test_an_expired_key_stays_refused_after_retention_is_lengthened(table, limits):
     key = _key(_dated(10))
     assert _ask(table, key, 10) is _Verdict.GRANTED
     table.expire(1500)
@@ -122,7 +122,7 @@
     assert _ask(_copy(table, longer), _key(_dated(600)), 1500) is _Verdict.GRANTED
 
 
-def test_a_claim_granted_anew_is_not_dropped_when_its_first_grant_would_have_expired(table):
+def test_a_claim_granted_again_is_not_removed_when_its_first_grant_would_have_expired(table):
     key = _key("k")
     _ask(table, key, 0)
     table.abandon(claim.ClaimAbandon(key, _holder()), 0)
@@ -131,7 +131,7 @@
     assert _ask(table, key, 5000, _holder("third")) is _Verdict.RUNNING
 
 
-def test_a_claim_expires_in_time_although_its_step_of_expiry_has_not_passed():
+def test_a_claim_expires_on_time_although_its_expiry_step_has_not_passed():
     limits = _claim_table.ClaimLimits(retention_ms=10**6, undated_retention_ms=10**6)
     table = _claim_table.ClaimTable(limits)
     _ask(table, _key("k"), 0)
@@ -150,7 +150,7 @@
     assert verdicts == [_Verdict.ALREADY_RAN, _Verdict.DONE, _Verdict.DONE]
 
 
-def test_a_table_from_a_snapshot_goes_on_as_the_first_one_does(table, limits):
+def test_a_table_restored_from_a_snapshot_behaves_like_the_original(table, limits):
     """Steps of expiry are bounded, so both must drop the same claims first."""
     limits = _claim_table.ClaimLimits(retention_ms=10**6, claims=10_000, accounts=4)
     table = _claim_table.ClaimTable(limits)
@@ -173,7 +173,7 @@
     assert len(table) == 1
 
 
-def test_a_snapshot_of_the_version_before_is_read():
+def test_a_snapshot_of_the_previous_version_is_restored():
     entry = _claim_table.ClaimEntry
     answers = [claim.StoredAnswer(200, "", body) for body in (b"one", b"two")]
     dropped = claim.StoredAnswer(200, "", b"", kept=False)
@@ -197,7 +197,7 @@
     assert len(table) == 0
 
 
-def test_the_version_before_refuses_a_packed_snapshot(table):
+def test_the_previous_version_rejects_a_packed_snapshot(table):
     """It would start without claims otherwise, and grant them anew."""
 
     class Before(msgspec.Struct):
--- a/tests/test_classify.py
+++ b/tests/test_classify.py
@@ -149,7 +149,7 @@
     assert pieces in str(caught.value)
 
 
-def test_a_caller_may_repeat_what_its_account_fixes(configuration):
+def test_a_caller_may_send_the_labels_of_its_account(configuration):
     asked = parsed(model="m", labels={"size": "small", "note": "x"})
     assigned = classify.assign(configuration, configuration.accounts[0], asked, now=0.0)
     assert (assigned.labels["size"], assigned.labels["note"]) == ("small", "x")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,10 +18,10 @@
     inventory,
     lease_table,
     lease_types,
-    order_desk,
+    order_manager,
     order_types,
     orders,
-    weight_store,
+    weight_load_scheduler,
 )
 from medlarfork.replica import replica, replica_types
 from medlarfork.settings import planner_settings
@@ -137,7 +137,7 @@
 
 
 def _ask(control_node, request, now=0.0):
-    actions = control_node.handle(control_types.OperatorAsked("call", request), now)
+    actions = control_node.handle(control_types.OperatorRequested("call", request), now)
     return [a.reply for a in actions if isinstance(a, control_types.OperatorAnswered)]
 
 
@@ -156,7 +156,7 @@
     return [message.verdict for _, message in _sent(actions, claim.ClaimReply)]
 
 
-def test_a_follower_points_to_the_leader(control_node):
+def test_a_follower_redirects_to_the_leader(control_node):
     for event in (_beat(), _claim()):
         (sent,) = _sent(control_node.handle(event, 0.0), heartbeat.NotLeader)
         assert sent == ("e1", heartbeat.NotLeader("c2", 1))
@@ -166,7 +166,7 @@
     assert (status.role, status.leader_id, status.has_lease) == ("follower", "c2", False)
 
 
-def test_a_leader_without_its_lease_answers_nothing_of_the_state(leader, part):
+def test_a_leader_without_its_lease_does_not_serve_state(leader, part):
     part.lease = False
     (sent,) = _sent(leader.handle(_beat(), 0.1), heartbeat.NotLeader)
     assert sent[1].leader_id == ""
@@ -209,12 +209,12 @@
     for entry_id in ("e1", "e2"):
         leader.handle(_beat(entry_id), 0.0)
     leader.handle(node.TimeDue(), 0.4)
-    actions = leader.handle(control_types.OperatorAsked("call", _change(1, 0)), 0.5)
+    actions = leader.handle(control_types.OperatorRequested("call", _change(1, 0)), 0.5)
     notices = _sent(actions, heartbeat.RevisionNotice)
     assert [(to, notice.revision) for to, notice in notices] == [("e1", 1), ("e2", 1)]
 
 
-def test_in_force_names_who_confirmed_who_has_not_and_who_was_lost(leader):
+def test_in_force_lists_confirmed_waiting_and_lost_hosts(leader):
     for entry_id in ("e1", "e2", "e3"):
         leader.handle(_beat(entry_id), 0.0)
     _ask(leader, _change(1, 0), 0.1)
@@ -241,7 +241,7 @@
     assert (reply.confirmed, reply.lost) == ((), ("e1",))
 
 
-def test_a_new_leader_waits_a_full_lease_before_it_calls_a_member_lost(control_node, state):
+def test_a_new_leader_waits_a_full_lease_before_a_member_is_lost(control_node, state):
     noted = _beat("e9").message.member
     command = replicated_state.MembersChanged(0, (noted,), ())
     state.apply(replicated_state.COMMANDS.pack(command))
@@ -257,7 +257,7 @@
     assert state.member_by_id.keys() == {"e1"}
 
 
-def test_members_are_not_lost_through_the_leaders_own_lapse(leader, part):
+def test_a_lapse_of_the_leaders_lease_loses_no_members(leader, part):
     leader.handle(_beat("e1"), 0.0)
     part.lease = False
     leader.handle(node.TimeDue(), 2.0)
@@ -336,7 +336,7 @@
     assert len(proposals) == 1 + 2 + 4096 // 256
 
 
-def test_nobody_speaks_for_another(leader):
+def test_messages_in_the_name_of_another_sender_are_rejected(leader):
     forged = (_beat("e1").message, _claim("e1").message, replica_types.Propose("p", b""))
     for message in forged:
         actions = leader.handle(node.MessageReceived("e2", message), 0.0)
@@ -429,7 +429,7 @@
 def test_a_stopping_leader_hands_over_and_ends_its_calls_first(leader, part):
     part.holding = True
     _ask(leader, _change(1, 0))
-    actions = leader.handle(control_types.StopAsked(), 1.0)
+    actions = leader.handle(control_types.StopRequested(), 1.0)
     assert part.events[-1] == replica_types.TransferLeadership()
     assert control_types.Stopped() not in actions
     leader.handle(node.TimeDue(), 1.5)
@@ -440,22 +440,22 @@
     assert control_types.Stopped() not in leader.handle(node.TimeDue(), 20.0)
 
 
-def test_a_stop_without_a_successor_ends_at_its_limit(leader):
-    leader.handle(control_types.StopAsked(), 1.0)
+def test_a_stop_without_a_successor_ends_at_its_timeout(leader):
+    leader.handle(control_types.StopRequested(), 1.0)
     assert control_types.Stopped() not in leader.handle(node.TimeDue(), 10.9)
     assert control_types.Stopped() in leader.handle(node.TimeDue(), 11.0)
 
 
 def test_a_follower_stops_at_once(control_node):
-    assert control_types.Stopped() in control_node.handle(control_types.StopAsked(), 1.0)
+    assert control_types.Stopped() in control_node.handle(control_types.StopRequested(), 1.0)
 
 
 @pytest.fixture
 def ordering(part):
     """Return a leader that orders engines, and its desk."""
-    planner = planner_settings.PlannerSettings(weight_store.StoreSettings(1e9))
-    desk = order_desk.OrderDesk(
-        order_desk.DeskOptions("c1-1", planner),
+    planner = planner_settings.PlannerSettings(weight_load_scheduler.WeightStoreSettings(1e9))
+    desk = order_manager.OrderManager(
+        order_manager.OrderManagerOptions("c1-1", planner),
         board=orders.OrderBoard(),
         table=lease_table.LeaseTable(),
     )
@@ -484,12 +484,12 @@
     assert desk.lease.may_act(0.1)
     assert not desk.lease.may_act(60.0)
     actions = (*leader.handle(_reported(), 0.1), *leader.handle(node.TimeDue(), 0.2))
-    assert [a.upstream_id for a in actions if isinstance(a, order_types.ReadBack)] == ["u1"]
+    assert [a.upstream_id for a in actions if isinstance(a, order_types.ReadEngineState)] == ["u1"]
     leader.handle(_role(replica_types.Role.FOLLOWER, 3, "c2"), 0.3)
     assert not desk.lease.may_act(0.3)
 
 
-def test_control_tells_which_upstreams_are_reported(ordering):
+def test_control_returns_which_upstreams_are_reported(ordering):
     leader, _ = ordering
     asked = operations.GetUpstreams(("u1", "u2"))
     assert _ask(leader, asked, 0.1) == [operations.KnownUpstreams(())]
@@ -503,7 +503,7 @@
     assert rejected == control_types.MessageRejected("e2", "InventoryReport")
 
 
-def test_a_heartbeat_with_another_digest_brings_a_resend(ordering):
+def test_a_heartbeat_with_another_digest_triggers_a_resend(ordering):
     leader, _ = ordering
     leader.handle(_reported(), 0.1)
     digest = inventory.notices_digest(_reported().message.notices)
@@ -513,7 +513,7 @@
     assert asked == [("e1", inventory.ResendInventory("e1"))]
 
 
-def test_a_host_that_left_is_forgotten_with_its_engines(ordering):
+def test_a_host_that_left_is_removed_with_its_engines(ordering):
     leader, _ = ordering
     digest = inventory.notices_digest(_reported().message.notices)
     leader.handle(_beat(inventory_digest=digest), 0.1)
@@ -525,12 +525,12 @@
     assert _sent(returned, inventory.ResendInventory)
 
 
-def test_entry_hosts_learn_at_once_what_is_out_of_service(ordering):
+def test_entry_hosts_are_notified_at_once_of_upstreams_out_of_service(ordering):
     leader, desk = ordering
     leader.handle(_beat(), 0.1)
     out = order_types.SetInService(desk.board.fence, 9, "u1", False)
     asked = operations.AskSubState("orders", orders.COMMANDS.pack(out))
-    actions = leader.handle(control_types.OperatorAsked("call", asked), 0.2)
+    actions = leader.handle(control_types.OperatorRequested("call", asked), 0.2)
     ((_, notice),) = _sent(actions, heartbeat.RevisionNotice)
     assert notice.out_of_service_version == 1
     (reply,) = _replies(leader.handle(_beat(number=2), 0.3))
@@ -539,13 +539,13 @@
     assert reply.out_of_service is None
 
 
-def test_a_graceful_stop_gives_the_lease_up(ordering):
+def test_a_graceful_stop_releases_the_lease(ordering):
     leader, desk = ordering
-    leader.handle(control_types.StopAsked(), 0.2)
+    leader.handle(control_types.StopRequested(), 0.2)
     take = lease_types.TakeLease("orders", "other", 1, 1.0, lease_types.LeaseVersion(1, 1))
-    assert desk.table.decide(take).accepted
+    assert desk.table.apply_command(take).accepted
 
 
-def test_a_deployment_without_orders_says_so(leader):
+def test_a_deployment_without_orders_refuses_to_list_them(leader):
     (refused,) = _ask(leader, operations.GetOrders())
     assert refused.code is errors.Code.NOT_FOUND
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -15,7 +15,7 @@
 from medlarfork.control import control, control_types, replicated_state
 from medlarfork.declared import configuration, configuration_delta
 from medlarfork.operator import operations
-from medlarfork.orders import lease_table, order_desk, orders, weight_store
+from medlarfork.orders import lease_table, order_manager, orders, weight_load_scheduler
 from medlarfork.replica import replica, replica_types
 from medlarfork.settings import planner_settings
 
@@ -25,7 +25,7 @@
 _ASKED = strategies.sampled_from(("", "", "", *_REPLICA_IDS))
 """Whom an operator asks; empty for the leader."""
 
-_PLANNER = planner_settings.PlannerSettings(weight_store.StoreSettings(1e9))
+_PLANNER = planner_settings.PlannerSettings(weight_load_scheduler.WeightStoreSettings(1e9))
 _EPOCH_MS = 1_700_000_000_000
 
 
@@ -63,8 +63,8 @@
         )
         world.starts += 1
         self.holder = f"{replica_id}-{world.starts}"
-        self.desk = order_desk.OrderDesk(
-            order_desk.DeskOptions(self.holder, _PLANNER, lease_s=1.5),
+        self.desk = order_manager.OrderManager(
+            order_manager.OrderManagerOptions(self.holder, _PLANNER, lease_s=1.5),
             board=orders.OrderBoard(),
             table=lease_table.LeaseTable(),
         )
@@ -172,7 +172,7 @@
             self.revisioned = after
 
 
-class _World:
+class _Simulation:
     """Hold the processes, the network, the time, and what was promised to anyone."""
 
     def __init__(self, seed):
@@ -247,7 +247,7 @@
         call_id = str(next(self.sequence))
         self.request_by_call[call_id] = request
         if name in self.process_by_id:
-            self.process_by_id[name].post(control_types.OperatorAsked(call_id, request))
+            self.process_by_id[name].post(control_types.OperatorRequested(call_id, request))
         self.run(0.02)
 
     def answered(self, call_id, reply):
@@ -289,7 +289,7 @@
         found = []
         for process in self.process_by_id.values():
             call_id = "status"
-            asked = control_types.OperatorAsked(call_id, operations.GetStatus())
+            asked = control_types.OperatorRequested(call_id, operations.GetStatus())
             (answered,) = (
                 action
                 for action in process.node.handle(asked, self.now)
@@ -306,7 +306,7 @@
 
     @stateful.initialize(seed=strategies.integers(0, 2**32))
     def found(self, seed):
-        self.world = _World(seed)
+        self.world = _Simulation(seed)
         self.lost_disk = False
         self.numbers = itertools.count()
         self.world.faulty = False
@@ -426,7 +426,7 @@
     @stateful.rule(name=strategies.sampled_from(_REPLICA_IDS))
     def stop_gracefully(self, name):
         if name in self.world.process_by_id:
-            self.world.process_by_id[name].post(control_types.StopAsked())
+            self.world.process_by_id[name].post(control_types.StopRequested())
             self.world.run(1.0)
             self.world.process_by_id.pop(name, None)
 
--- a/tests/test_entry_orders.py
+++ b/tests/test_entry_orders.py
@@ -33,7 +33,7 @@
         (reply,) = replies
         if message.out_of_service_version < self.out_of_service.version:
             reply = dataclasses.replace(reply, out_of_service=self.out_of_service)
-        resend = self.inventory.check(sender, message.inventory_digest)
+        resend = self.inventory.check_digest(sender, message.inventory_digest)
         return (reply,) if resend is None else (reply, resend)
 
 
--- a/tests/test_fenced_lease.py
+++ b/tests/test_fenced_lease.py
@@ -15,7 +15,7 @@
     def event(self, actions):
         """Return the event that answers the proposal among some actions."""
         (command,) = [a.command for a in actions if isinstance(a, lease_types.Propose)]
-        reply = self.table.decide(command)
+        reply = self.table.apply_command(command)
         if isinstance(command, lease_types.TakeLease):
             return lease_types.TakeCommitted(command.attempt, reply)
         return lease_types.RenewCommitted(command.attempt, reply)
@@ -59,7 +59,7 @@
     assert any(isinstance(action, lease_types.Propose) for action in actions)
 
 
-def test_a_thawed_process_may_not_act_before_any_event(log):
+def test_a_resumed_process_may_not_act_before_any_event(log):
     lease = lease_of("a")
     acquire(lease, log, 100.0)
     assert not lease.may_act(500.0)
@@ -83,7 +83,7 @@
     assert lease.valid_until == pytest.approx(109.9)
 
 
-def test_another_waits_the_whole_duration_and_gets_a_higher_fence(log):
+def test_another_taker_waits_for_the_full_duration_and_gets_a_higher_fence(log):
     first, second = lease_of("a"), lease_of("b")
     acquire(first, log, 100.0)
     assert acquire(second, log, 5.0) == (node.Wake(5.0 + 10.1),)
@@ -92,7 +92,7 @@
     assert lease_types.Acquired(2) in second.handle(event, 15.1)
 
 
-def test_a_renewal_while_another_waits_sends_it_back_to_waiting(log):
+def test_a_renewal_restarts_the_wait_of_another_taker(log):
     first, second = lease_of("a"), lease_of("b")
     acquire(first, log, 100.0)
     acquire(second, log, 5.0)
@@ -107,7 +107,7 @@
     lost, release = first.handle(lease_types.Stopping(), 101.0)
     assert lost == lease_types.Lost(1)
     assert not first.may_act(101.0)
-    log.table.decide(release.command)
+    log.table.apply_command(release.command)
     event = log.event(second.handle(node.Started(), 5.0))
     event = log.event(second.handle(event, 5.0))
     assert lease_types.Acquired(2) in second.handle(event, 5.0)
@@ -118,7 +118,7 @@
     acquire(lease, log, 100.0)
     renewal = lease.handle(node.TimeDue(), 103.0)
     seen = lease_types.LeaseVersion(1, 0)
-    log.table.decide(lease_types.TakeLease("orders", "b", 1, 10.0, seen))
+    log.table.apply_command(lease_types.TakeLease("orders", "b", 1, 10.0, seen))
     assert lease_types.Lost(1) in lease.handle(log.event(renewal), 103.1)
     assert not lease.may_act(103.1)
 
@@ -128,7 +128,7 @@
     acquire(lease, log, 100.0)
     renewal = lease.handle(node.TimeDue(), 103.0)
     seen = lease_types.LeaseVersion(1, 0)
-    log.table.decide(lease_types.TakeLease("orders", "b", 1, 10.0, seen))
+    log.table.apply_command(lease_types.TakeLease("orders", "b", 1, 10.0, seen))
     actions = lease.handle(log.event(renewal), 103.1)
     lease.handle(log.event(actions), 103.2)
     assert not lease.may_act(103.2)
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -30,36 +30,36 @@
     assert "e1" in upstreams.upstream_by_id
 
 
-def test_an_upstream_is_present_while_one_entry_host_hears_it(upstreams):
+def test_an_upstream_is_present_while_one_entry_host_reports_it(upstreams):
     upstreams.apply(report("a", NOTICE))
     upstreams.apply(report("b", dataclasses.replace(NOTICE, incarnation=6)))
     gone = dataclasses.replace(NOTICE, gone=True)
     upstreams.apply(report("a", gone))
     assert upstreams.upstream_by_id["e1"].incarnation == 6
-    assert upstreams.forget_entry("b") == ("e1",)
+    assert upstreams.remove_entry("b") == ("e1",)
     assert upstreams.upstream_by_id == {}
 
 
 def test_a_new_leader_asks_for_a_resend_until_the_digests_agree(upstreams):
     other = dataclasses.replace(NOTICE, upstream_id="e2")
     digest = inventory.notices_digest((NOTICE, other))
-    assert upstreams.check("a", digest) == inventory.ResendInventory("a")
+    assert upstreams.check_digest("a", digest) == inventory.ResendInventory("a")
     upstreams.apply(report("a", NOTICE, whole=True))
-    assert upstreams.check("a", digest) == inventory.ResendInventory("a")
+    assert upstreams.check_digest("a", digest) == inventory.ResendInventory("a")
     upstreams.apply(report("a", other))
-    assert upstreams.check("a", digest) is None
+    assert upstreams.check_digest("a", digest) is None
 
 
 def test_a_lost_change_is_found_by_the_digest(upstreams):
     upstreams.apply(report("a", NOTICE))
     changed = dataclasses.replace(NOTICE, role="decode")
-    assert upstreams.check("a", inventory.notices_digest((changed,))) is not None
+    assert upstreams.check_digest("a", inventory.notices_digest((changed,))) is not None
 
 
-def test_a_whole_report_forgets_what_it_does_not_name(upstreams):
+def test_a_whole_report_removes_upstreams_that_it_does_not_list(upstreams):
     upstreams.apply(report("a", NOTICE))
     assert upstreams.apply(report("a", whole=True)) == ("e1",)
-    assert upstreams.check("a", 0) is None
+    assert upstreams.check_digest("a", 0) is None
 
 
 def test_the_inventory_is_bounded(upstreams, monkeypatch):
--- a/tests/test_inventory_reporter.py
+++ b/tests/test_inventory_reporter.py
@@ -30,7 +30,7 @@
         return reports
 
     def agree(self):
-        return self.inventory.check("h1", self.reporter.digest) is None
+        return self.inventory.check_digest("h1", self.reporter.digest) is None
 
 
 @pytest.fixture
--- a/tests/test_log_clock.py
+++ b/tests/test_log_clock.py
@@ -31,7 +31,7 @@
         return self.verdicts[-1]
 
 
-class _Clockless(machine._World):
+class _Clockless(machine._Simulation):
     """Run replicas that are told no wall clock."""
 
     def read_clock(self, process):
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def world():
-    world = machine._World(1)
+    world = machine._Simulation(1)
     world.faulty = False
     world.run(5.0)
     return world
@@ -91,7 +91,7 @@
         ({"a": 900, "x": 100}, None),
     ],
 )
-def test_the_middle_of_a_majority_of_three_counts(clocks, agreed):
+def test_the_median_of_a_majority_of_three_is_used(clocks, agreed):
     clock = _log_clock.LogClock()
     for name, unix_ms in clocks.items():
         clock.set(name, unix_ms + 5000, now=5.0)
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("heard", ["abc", "abcd", "abcde"])
-def test_two_of_five_clocks_ahead_do_not_win_however_few_are_heard(heard):
+def test_two_of_five_clocks_ahead_never_decide_the_time(heard):
     clock = _log_clock.LogClock()
     for name in heard:
         clock.set(name, 900 if name in "ab" else 100, now=0.0)
@@ -121,7 +121,7 @@
     assert world.leader() == leader_id
 
 
-def test_a_reading_of_somebody_who_is_no_replica_is_rejected(world):
+def test_a_clock_reading_from_a_non_replica_is_rejected(world):
     leader = world.process_by_id[world.leader()].node
     message = node.MessageReceived("e1", _log_clock.ClockReading(1))
     rejected = control_types.MessageRejected("e1", "ClockReading")
--- a/tests/test_order_client.py
+++ b/tests/test_order_client.py
@@ -75,14 +75,14 @@
     assert len(fake.asked) == 1
 
 
-def test_an_order_is_not_sent_after_its_time():
+def test_an_order_is_not_sent_after_its_deadline():
     fake, done = send(FakeResponse(200), now=10.0)
     assert fake.asked == []
     assert done.result is order_types.OrderResult.FAILED
 
 
 @pytest.mark.parametrize("fence", [3, 4])
-def test_an_order_is_not_sent_after_its_holding(fence):
+def test_an_order_is_not_sent_after_its_lease_has_ended(fence):
     lease = FakeLease(held=fence != 3)
     lease.fence = fence
     fake, done = send(FakeResponse(200), lease=lease)
@@ -119,7 +119,7 @@
         (errors.UpstreamError("cut", remedy="x."), None),
     ],
 )
-def test_a_state_is_read_back(outcome, state):
+def test_a_state_is_read(outcome, state):
     client = order_client.OrderClient(FakeClient(outcome), lease=FakeLease())
-    action = order_types.ReadBack("e1", "http://127.0.0.1:1", 7)
-    assert curio.run(client.read_back, action) == order_types.ReadBackDone("e1", 7, state)
+    action = order_types.ReadEngineState("e1", "http://127.0.0.1:1", 7)
+    assert curio.run(client.read_state, action) == order_types.EngineStateRead("e1", 7, state)
--- a/tests/test_order_desk.py
+++ b/tests/test_order_manager.py
@@ -10,16 +10,16 @@
     inventory,
     lease_table,
     lease_types,
-    order_desk,
+    order_manager,
     order_types,
     orders,
-    weight_store,
+    weight_load_scheduler,
 )
 from medlarfork.settings import planner_settings
 
 LEASE_S = 6.0
 LIMIT_S = 20.0
-STORE = weight_store.StoreSettings(40.0, lanes=4, small_bytes=10)
+STORE = weight_load_scheduler.WeightStoreSettings(40.0, lanes=4, small_bytes=10)
 PLANNER = planner_settings.PlannerSettings(
     STORE, max_order_s=LIMIT_S, answer_timeout_s=9.0, drain_s=2.0
 )
@@ -45,8 +45,8 @@
         self.told = []
         self.loses_proposals = False
         self.desks = [
-            order_desk.OrderDesk(
-                order_desk.DeskOptions(f"holder-{number}", PLANNER, LEASE_S),
+            order_manager.OrderManager(
+                order_manager.OrderManagerOptions(f"holder-{number}", PLANNER, LEASE_S),
                 board=orders.OrderBoard(),
                 table=lease_table.LeaseTable(),
             )
@@ -55,7 +55,7 @@
 
     def tell(self, desk, event):
         for action in desk.handle(event, self.now):
-            if isinstance(action, order_desk.ProposeToSubState):
+            if isinstance(action, order_manager.ProposeToSubState):
                 if not self.loses_proposals:
                     self.commit(action.name, action.command)
             else:
@@ -68,7 +68,7 @@
             replies.append(sub_state.apply(command, 0))
         assert len(set(replies)) == 1
         for desk in self.desks:
-            self.tell(desk, order_desk.CommandApplied(name, command, replies[0]))
+            self.tell(desk, order_manager.CommandApplied(name, command, replies[0]))
 
     def declare(self, desired=DESIRED, base=0):
         self.commit("orders", orders.COMMANDS.pack(order_types.Declare(desired, "", base)))
@@ -88,8 +88,8 @@
         return found
 
     def answer_read(self, desk, state):
-        (read,) = self.take(order_types.ReadBack)
-        self.tell(desk, order_types.ReadBackDone(read.upstream_id, read.number, state))
+        (read,) = self.take(order_types.ReadEngineState)
+        self.tell(desk, order_types.EngineStateRead(read.upstream_id, read.number, state))
 
     def lead(self, desk, *notices):
         self.tell(desk, lease_types.LeadershipWon())
@@ -132,7 +132,7 @@
 
 def test_a_replica_that_does_not_lead_does_nothing(site, desk):
     site.tell(desk, report(notice()))
-    site.tell(desk, order_desk.EntryHeard("h1", 5))
+    site.tell(desk, order_manager.EntryHeartbeat("h1", 5))
     site.run_for(60.0)
     assert (site.told, desk.wake_at) == ([], math.inf)
 
@@ -140,14 +140,14 @@
 def test_an_engine_that_checks_no_fences_waits_for_older_orders_to_end(site, desk):
     site.lead(desk, notice(checks_fence=False))
     site.run_for(LIMIT_S - 1)
-    assert site.take(order_types.ReadBack) == []
+    assert site.take(order_types.ReadEngineState) == []
     (waiting,) = desk.waiting(site.now)
     assert (waiting.upstream_id, "older holder" in waiting.reason) == ("e1", True)
     site.run_for(2.0)
-    assert len(site.take(order_types.ReadBack)) == 1
+    assert len(site.take(order_types.ReadEngineState)) == 1
 
 
-def test_the_next_leader_waits_the_lease_out_and_orders_nothing_twice(site, desk):
+def test_the_next_leader_waits_for_lease_expiry_and_orders_nothing_twice(site, desk):
     order = ordered(site, desk)
     site.tell(desk, lease_types.LeadershipLost())
     assert not desk.lease.may_act(site.now)
@@ -168,7 +168,7 @@
     assert site.take(order_types.OrderEngine) == []
 
 
-def test_a_take_of_another_holder_is_not_taken_for_ones_own(site, desk):
+def test_a_take_of_another_holder_is_not_mistaken_for_the_own_one(site, desk):
     site.loses_proposals = True
     site.tell(desk, lease_types.LeadershipWon())
     site.loses_proposals = False
@@ -176,7 +176,7 @@
     assert [each.lease.may_act(site.now) for each in site.desks] == [False, True]
 
 
-def test_a_leader_that_stops_gives_the_lease_up(site, desk):
+def test_a_stopping_leader_releases_the_lease(site, desk):
     site.lead(desk, notice())
     site.tell(desk, lease_types.Stopping())
     site.lead(site.desks[1], notice())
@@ -184,50 +184,52 @@
     assert site.desks[1].lease.fence == 2
 
 
-def test_a_refused_fence_ends_the_holding_and_a_later_one_goes_on(site, desk):
+def test_after_a_refused_fence_the_lease_is_released_and_retaken_later(site, desk):
     order = ordered(site, desk)
     site.tell(desk, order_types.OrderDone(order.order_id, Result.REFUSED_FENCE))
     assert not desk.lease.may_act(site.now)
-    site.run_for(order_desk.RETAKE_S - 0.1)
+    site.run_for(order_manager.RETAKE_DELAY_S - 0.1)
     assert desk.fence == 1
     site.run_for(0.2)
     assert (desk.lease.may_act(site.now), desk.fence) == (True, 2)
 
 
-def test_a_lease_that_is_not_renewed_ends_the_orders(site, desk):
+def test_an_unrenewed_lease_stops_the_orders(site, desk):
     site.lead(desk, notice())
     site.loses_proposals = True
     site.run_for(LEASE_S + 1)
     assert not desk.lease.may_act(site.now)
-    site.take(order_types.ReadBack)
+    site.take(order_types.ReadEngineState)
     site.declare(dataclasses.replace(DESIRED, role="decode"), base=9)
     site.run_for(LIMIT_S)
-    assert site.take(order_types.ReadBack | order_types.OrderEngine) == []
+    assert site.take(order_types.ReadEngineState | order_types.OrderEngine) == []
 
 
-def test_a_new_leader_asks_for_the_notices_it_lacks(site, desk):
+def test_a_new_leader_requests_missing_notices(site, desk):
     site.lead(desk, notice())
     digest = inventory.notices_digest([notice()])
-    site.tell(desk, order_desk.EntryHeard("h1", digest))
+    site.tell(desk, order_manager.EntryHeartbeat("h1", digest))
     assert site.take(node.Send) == []
-    site.tell(desk, order_desk.EntryHeard("h1", digest ^ 1))
+    site.tell(desk, order_manager.EntryHeartbeat("h1", digest ^ 1))
     resend = node.Send("h1", inventory.ResendInventory("h1"))
     assert site.take(node.Send) == [resend]
     site.tell(desk, lease_types.LeadershipLost())
     site.tell(desk, lease_types.LeadershipWon())
-    site.tell(desk, order_desk.EntryHeard("h1", digest))
+    site.tell(desk, order_manager.EntryHeartbeat("h1", digest))
     assert site.take(node.Send) == [resend]
 
 
 @pytest.mark.parametrize("returns", [True, False])
-def test_a_lost_entry_hosts_engines_are_forgotten_after_a_while(site, desk, returns):
+def test_engines_of_a_lost_entry_host_are_evicted_after_the_retention_time(site, desk, returns):
     site.lead(desk, notice())
     digest = inventory.notices_digest([notice()])
-    site.tell(desk, order_desk.EntryLost("h1"))
-    site.run_for(order_desk.FORGET_AFTER_S - 0.5)
-    site.tell(desk, order_desk.EntryHeard("h1" if returns else "h2", digest if returns else 0))
+    site.tell(desk, order_manager.EntryLost("h1"))
+    site.run_for(order_manager.LOST_ENTRY_RETENTION_S - 0.5)
+    site.tell(
+        desk, order_manager.EntryHeartbeat("h1" if returns else "h2", digest if returns else 0)
+    )
     site.run_for(1.0)
-    site.tell(desk, order_desk.EntryHeard("h1", digest))
+    site.tell(desk, order_manager.EntryHeartbeat("h1", digest))
     assert bool(site.take(node.Send)) is not returns
 
 
--- a/tests/test_order_planner.py
+++ b/tests/test_order_planner.py
@@ -8,7 +8,7 @@
 
 from medlarfork import node
 from medlarfork.orders import _fleet, inventory, lease_types, order_types, orders
-from tests import order_world
+from tests import order_simulation
 
 PICK = st.integers(0, 1_000)
 
@@ -16,7 +16,7 @@
 class OrdersUnderFaults(stateful.RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.world = order_world.World()
+        self.world = order_simulation.World()
 
     def index(self, items, pick):
         hypothesis.assume(items)
@@ -95,44 +95,44 @@
 
 
 def test_desired_state_is_reached_without_faults():
-    world = order_world.World()
+    world = order_simulation.World()
     assert world.settle()
     executed = [order for engine in world.engines for order in engine.executed]
     assert len(executed) == 3 * len(world.engines)
 
 
-def test_a_rack_that_returns_is_loaded_at_the_rate_and_soon_holds_every_model():
+def test_a_returning_rack_is_loaded_within_the_rate_and_soon_holds_every_model():
     weights = tuple(order_types.Weights(f"model-{number}", "v1", 10) for number in range(23))
     desired = order_types.DesiredState("all", weights=weights)
-    engines = [order_world.Engine(f"e{number}", checks_fence=True) for number in range(40)]
+    engines = [order_simulation.Engine(f"e{number}", checks_fence=True) for number in range(40)]
     for engine in engines:
         engine.role = ""
-    world = order_world.World(engines, desired)
+    world = order_simulation.World(engines, desired)
     loads = []
     for engine in engines:
         engine.on_executed = lambda order: loads.append((world.now, order.action.weights.name))
     assert world.settle(limit=40_000)
     assert len(loads) == 40 * 23
     assert len({name for _, name in loads[:40]}) == 23, "one load an engine holds every model"
-    lanes, rate = order_world.STORE.lanes, order_world.STORE.bytes_per_second
+    lanes, rate = order_simulation.STORE.lanes, order_simulation.STORE.bytes_per_second
     for position, (start, _) in enumerate(loads):
         within = sum(1 for at, _ in loads[position : position + 60] if at < start + 10.0)
         assert within * 10 <= rate * 10.0 + lanes * 10
 
 
 def test_a_new_holder_waits_before_its_first_order_to_an_engine_that_does_not_check():
-    world = order_world.World()
+    world = order_simulation.World()
     first = {}
     for engine in world.engines:
         engine.on_executed = lambda order: first.setdefault(order.upstream_id, world.now)
     assert world.settle()
     acquired_at = 100.0
-    assert first["checks-1"] < acquired_at + order_world.MAX_ORDER_S
-    assert first["plain-1"] >= acquired_at + order_world.MAX_ORDER_S
+    assert first["checks-1"] < acquired_at + order_simulation.MAX_ORDER_S
+    assert first["plain-1"] >= acquired_at + order_simulation.MAX_ORDER_S
 
 
-def test_a_refused_fence_ends_the_holding():
-    world = order_world.World()
+def test_a_refused_fence_ends_the_session():
+    world = order_simulation.World()
     while not world.sent:
         world.step()
     holder, order = world.sent[0].holder, world.sent[0].order
@@ -143,14 +143,14 @@
 
 
 def test_an_order_of_unknown_result_is_repeated_only_if_its_effect_is_missing():
-    world = order_world.World()
+    world = order_simulation.World()
     while not world.sent:
         world.step()
     sent = world.sent[0]
     world.lose_answer_early(0)
     world.advance(0.1)
     assert all(read.upstream_id != sent.order.upstream_id or read.state for _, read in world.reads)
-    while world.now < sent.at + order_world.MAX_ORDER_S - 0.2:
+    while world.now < sent.at + order_simulation.MAX_ORDER_S - 0.2:
         if world.proposals:
             world.commit(0)
         elif world.reads:
@@ -162,8 +162,8 @@
     assert world.settle()
 
 
-def test_an_engine_that_is_gone_is_dropped_with_its_order():
-    world = order_world.World()
+def test_an_engine_that_is_gone_is_removed_with_its_order():
+    world = order_simulation.World()
     while not world.sent:
         world.step()
     sent = world.sent[0]
@@ -174,7 +174,7 @@
     world.engines.remove(engine)
     world.sent.remove(sent)
     assert world.settle()
-    world.advance(2 * order_world.MAX_ORDER_S)
+    world.advance(2 * order_simulation.MAX_ORDER_S)
     assert world.settle()
     for _ in range(40):
         world.step()
@@ -182,14 +182,14 @@
 
 
 def until_sent():
-    world = order_world.World()
+    world = order_simulation.World()
     while not world.sent:
         world.step()
     return world, world.sent[0]
 
 
 def test_an_order_recorded_after_the_lease_ended_is_not_sent():
-    world = order_world.World()
+    world = order_simulation.World()
     record = None
     while not isinstance(record, order_types.RecordOrder):
         world.step()
@@ -201,8 +201,8 @@
     assert not any(isinstance(action, order_types.OrderEngine) for action in actions)
 
 
-def test_nothing_is_read_or_ordered_before_the_board_refuses_older_holders():
-    world = order_world.World()
+def test_nothing_is_read_or_ordered_before_the_board_refuses_earlier_holders():
+    world = order_simulation.World()
     while not any(isinstance(item, order_types.BeginHolding) for item in world.proposals):
         world.step()
     world.advance(0.2)
@@ -213,7 +213,7 @@
 
 
 def test_a_state_read_before_an_engine_restarted_is_not_used():
-    world = order_world.World()
+    world = order_simulation.World()
     assert world.settle()
     world.restart_engine(0)
     holder, old_read = world.reads[0]
@@ -224,13 +224,13 @@
     assert world.settle()
 
 
-def test_a_new_holder_waits_for_an_open_order_of_an_older_one():
+def test_a_new_holder_waits_for_an_open_order_of_an_earlier_one():
     world, sent = until_sent()
     engine = world.engine_by_id[sent.order.upstream_id]
     world.sent = [sent]
     sent.holder.take(lease_types.Stopping())
     world.holders.remove(sent.holder)
-    while world.now < sent.at + order_world.MAX_ORDER_S - 0.2:
+    while world.now < sent.at + order_simulation.MAX_ORDER_S - 0.2:
         if world.proposals:
             world.commit(0)
         elif world.reads:
@@ -244,17 +244,17 @@
     assert world.settle()
 
 
-def test_an_engine_that_went_while_out_counts_until_it_is_put_back():
+def test_an_engine_lost_while_out_of_service_counts_until_it_is_returned_to_service():
     board, upstreams = orders.OrderBoard(), inventory.Inventory()
     desired = order_types.DesiredState("all", role="decode", max_unavailable=0.5)
-    board.decide(order_types.Declare(desired), 0)
-    board.decide(order_types.BeginHolding(1), 0)
-    board.decide(order_types.SetInService(1, 1, "gone", False), 0)
+    board.apply_command(order_types.Declare(desired), 0)
+    board.apply_command(order_types.BeginHolding(1), 0)
+    board.apply_command(order_types.SetInService(1, 1, "gone", False), 0)
     notices = tuple(inventory.UpstreamNotice(f"e{number}", 1, "") for number in range(2))
     upstreams.apply(inventory.InventoryReport("entry", notices))
     fleet = _fleet.Fleet(board, upstreams)
     assert all(fleet.desired(notice.upstream_id) == desired for notice in notices)
-    assert not fleet.take_out("e0", desired)
-    board.decide(order_types.SetInService(1, 2, "gone", True), 0)
-    assert fleet.take_out("e0", desired)
-    assert not fleet.take_out("e1", desired)
+    assert not fleet.reserve_out_of_service("e0", desired)
+    board.apply_command(order_types.SetInService(1, 2, "gone", True), 0)
+    assert fleet.reserve_out_of_service("e0", desired)
+    assert not fleet.reserve_out_of_service("e1", desired)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -56,7 +56,7 @@
         order_types.SetInService(2, 9, "e1", False),
     ],
 )
-def test_an_older_holder_changes_nothing(board, command):
+def test_an_earlier_holder_changes_nothing(board, command):
     apply(board, order_types.BeginHolding(3))
     apply(board, order_types.RecordOrder(order(3, 1)))
     before = board.encode()
@@ -77,7 +77,7 @@
     assert apply(board, order_types.Declare(order_types.DesiredState("x", "a=="))) is V.INVALID
 
 
-def test_a_restored_board_answers_alike(board):
+def test_a_restored_board_gives_the_same_replies(board):
     apply(board, order_types.Declare(order_types.DesiredState("x", weights=(WEIGHTS,))))
     apply(board, order_types.BeginHolding(3))
     apply(board, order_types.RecordOrder(order(3, 1)))
@@ -149,5 +149,5 @@
         order_types.DesiredState("x", weights=(order_types.Weights("m", "v1", -1),)),
     ],
 )
-def test_an_unsound_declaration_is_refused(board, wrong):
+def test_an_invalid_declaration_is_refused(board, wrong):
     assert apply(board, order_types.Declare(wrong)) is V.INVALID
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -17,7 +17,7 @@
     configuration.RequestClass("chat", 2, floor_share=0.0),
     configuration.RequestClass("review", 3, floor_share=0.2, preemptible=True),
 )
-_STRICT = pool_options.PLAIN
+_STRICT = pool_options.NON_ADAPTIVE
 
 
 class Bench:
@@ -378,7 +378,7 @@
 
 @pytest.mark.parametrize(
     ("order", "first"),
-    [(pool_options.Order.ARRIVAL, "r2/1"), (pool_options.Order.TARGET, "r3/1")],
+    [(pool_options.TicketOrder.ARRIVAL, "r2/1"), (pool_options.TicketOrder.TARGET, "r3/1")],
 )
 def test_order_within_an_account(order, first):
     bench = Bench(dataclasses.replace(_STRICT, order=order))
--- a/tests/test_pool_differential.py
+++ b/tests/test_pool_differential.py
@@ -8,10 +8,10 @@
 from medlarfork import node, ticket, upstream
 from medlarfork.declared import configuration
 from medlarfork.pool import pool, pool_events, pool_options
-from tests import naive_pool
+from tests import reference_pool
 
 _POOL = "lm/0"
-_OPTIONS = dataclasses.replace(pool_options.PLAIN, max_queued=25)
+_OPTIONS = dataclasses.replace(pool_options.NON_ADAPTIVE, max_queued=25)
 _SERVICE = configuration.Service("lm", configuration.ServiceKind.MODEL, "", slots=2)
 _ACCOUNTS = (
     configuration.Account("a", weight=2.0),
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_pool_decides_like_the_naive_one(seed):
     real = pool.Pool(name=_POOL, entry_id="e", random=random.Random(seed), options=_OPTIONS)
-    naive = naive_pool.NaivePool(name=_POOL, options=_OPTIONS)
+    naive = reference_pool.ReferencePool(name=_POOL, options=_OPTIONS)
     granted = shed = 0
     for step, (now, event) in enumerate(_events(seed)):
         got = _decisions(real.handle(event, now))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -31,7 +31,7 @@
     return made
 
 
-def test_only_whole_events_are_relayed_and_tokens_are_counted(streaming):
+def test_only_complete_events_are_relayed_and_tokens_are_counted(streaming):
     assert streaming.feed("a.1", part("x", 1) + part("y", 2)[:-1]) == part("x", 1)
     assert (streaming.tokens, streaming.resumable, streaming.complete) == (1, True, False)
     assert streaming.feed("a.1", b"\n" + sse.encode(sse.DONE)) == part("y", 2) + sse.encode(
@@ -59,7 +59,7 @@
     assert streaming.feed("a.2", part("y", 2)) == b""
 
 
-def test_a_resumed_stream_that_repeats_a_token_is_broken(streaming):
+def test_a_resumed_stream_that_repeats_a_token_fails(streaming):
     streaming.feed("a.1", part("x", 1))
     streaming.begin("a.2", resume_offset=1, status=200, headers=resumed(1))
     with pytest.raises(errors.UpstreamError):
@@ -67,13 +67,13 @@
 
 
 @pytest.mark.parametrize("number", [None, "9" * 5000, "abc", "x7", 0, 1])
-def test_ids_that_do_not_count_tokens_make_a_stream_not_resumable(streaming, number):
+def test_event_ids_that_do_not_count_tokens_make_a_stream_not_resumable(streaming, number):
     streaming.feed("a.1", part("x", 1))
     streaming.feed("a.1", part("y", number))
     assert (streaming.tokens, streaming.resumable) == (2, False)
 
 
-def test_a_stream_without_its_own_end_is_not_complete(streaming):
+def test_a_stream_without_its_end_marker_is_not_complete(streaming):
     streaming.feed("a.1", part("x", 1) + sse.encode(sse.DONE)[:-1])
     assert not streaming.complete
     streaming.feed("a.1", b"\n")
@@ -82,12 +82,12 @@
 
 
 @pytest.mark.parametrize("data", ["[]", "{", '{"choices": 1}', '{"choices": [{"delta": []}]}'])
-def test_an_event_of_another_shape_is_broken(streaming, data):
+def test_an_event_with_another_schema_is_an_error(streaming, data):
     with pytest.raises(errors.UpstreamError):
         streaming.feed("a.1", sse.encode(data))
 
 
-def test_events_dropped_with_a_broken_one_are_not_counted(streaming):
+def test_events_discarded_with_a_malformed_one_are_not_counted(streaming):
     streaming.feed("a.1", part("x", 1))
     with pytest.raises(errors.UpstreamError):
         streaming.feed("a.1", part("y", 2) + sse.encode("{"))
@@ -106,7 +106,7 @@
     assert not made.complete
 
 
-def test_a_restart_from_the_beginning_forgets_what_was_assembled():
+def test_a_restart_from_the_beginning_discards_the_assembled_chunks():
     made = relay.Relay(stream=False, assemble=True)
     made.begin("a.1", resume_offset=0, status=200, headers=STREAM)
     assert made.feed("a.1", part("old", None)) == b""
@@ -117,7 +117,7 @@
 
 
 @given(st.lists(st.text("abc", min_size=1, max_size=3), max_size=8), st.data())
-def test_an_assembled_answer_equals_the_joined_parts_however_it_is_cut(texts, data):
+def test_an_assembled_answer_equals_the_joined_chunks_however_it_is_split(texts, data):
     made = relay.Relay(stream=False, assemble=True)
     kept = 0
     for attempt in range(1, 4):
--- a/tests/test_replicated_state.py
+++ b/tests/test_replicated_state.py
@@ -113,14 +113,14 @@
     assert copy.encode() == state.encode()
 
 
-def test_an_id_is_not_taken_for_another_change(apply, state):
+def test_a_change_id_is_not_reused_for_another_change(apply, state):
     apply(_change(_id(1), 0))
     assert apply(_change(_id(1), 0, name="other")).code is errors.Code.KEY_REUSED
     assert state.current.configuration.name == "x"
 
 
 @pytest.mark.parametrize("later_ms", [0, 1000])
-def test_an_id_no_longer_remembered_is_refused(apply, state, later_ms):
+def test_an_evicted_change_id_is_refused(apply, state, later_ms):
     apply(_change(_id(5, 1), 0))
     for revision in range(1, 7 if later_ms == 0 else 2):
         apply(_change(_id(6 + later_ms, revision), revision, at_ms=later_ms))
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("change_id", ["7", _id(500), _id(1).upper()])
-def test_an_id_without_a_sound_time_is_refused(apply, state, change_id):
+def test_a_change_id_without_a_valid_time_is_refused(apply, state, change_id):
     assert apply(_change(change_id, 0)).code is errors.Code.BAD_REQUEST
     assert state.current.revision == 0
 
@@ -161,7 +161,7 @@
     assert (done.verdict, done.answer) == (claim.Verdict.DONE, _answer())
 
 
-def test_an_unknown_end_is_never_run_again(claim_at):
+def test_a_claim_with_an_unknown_outcome_never_runs_again(claim_at):
     claim_at(0, _ask())
     claim_at(0, _finish(None))
     assert claim_at(0, _ask(holder=_holder("e2"))).verdict is claim.Verdict.HOLDER_LOST
@@ -177,7 +177,7 @@
     assert verdicts == [claim.Verdict.ALREADY_RAN, claim.Verdict.ALREADY_RAN, claim.Verdict.DONE]
 
 
-def test_an_abandoned_claim_is_free_but_not_for_its_late_request(claim_at):
+def test_an_abandoned_claim_is_granted_to_others_but_not_to_its_late_request(claim_at):
     claim_at(0, _ask())
     claim_at(0, _abandon())
     assert claim_at(0, _ask()).verdict is claim.Verdict.HOLDER_LOST
@@ -203,7 +203,7 @@
     assert claim_at(20, _ask(key, _holder("e2"))).verdict is claim.Verdict.KEY_EXPIRED
 
 
-def test_a_key_from_a_fast_clock_outlives_its_claim_nowhere(claim_at):
+def test_a_key_from_a_fast_clock_never_outlives_its_claim(claim_at):
     key = _key(_id(90))
     assert claim_at(0, _ask(key)).verdict is claim.Verdict.GRANTED
     for at_ms in (1000, 1089):
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize(("name", "command"), [("log", b"bad"), ("unknown", b"x")])
-def test_a_command_that_a_sub_state_can_not_take_stops_no_replica(name, command):
+def test_a_command_that_a_sub_state_refuses_stops_no_replica(name, command):
     state = replicated_state.ReplicatedState(sub_states=(_Log(),))
     reply = state.apply(
         replicated_state.COMMANDS.pack(replicated_state.SubStateCommand(7, name, command))
--- a/tests/test_request_key.py
+++ b/tests/test_request_key.py
@@ -13,7 +13,7 @@
 }
 
 
-def test_a_repeat_has_the_name_of_the_request_before_it():
+def test_a_retry_has_the_key_of_the_first_request():
     first = request_key.request_key(**GIVEN)
     assert first == request_key.request_key(**(GIVEN | {"host": "A.example:80"}))
 
@@ -33,7 +33,7 @@
     assert request_key.request_key(**GIVEN) != request_key.request_key(**(GIVEN | change))
 
 
-def test_the_requests_of_an_account_are_known_as_its_own():
+def test_the_keys_of_an_account_share_its_prefix():
     key = request_key.request_key(**GIVEN)
-    assert key.startswith(request_key.account_mark("shop"))
-    assert not key.startswith(request_key.account_mark("other"))
+    assert key.startswith(request_key.account_prefix("shop"))
+    assert not key.startswith(request_key.account_prefix("other"))
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -278,7 +278,7 @@
                 for _ in range(2):
                     done = await client.order(order)
                     assert done.result is order_types.OrderResult.DONE
-            read = await client.read_back(order_types.ReadBack("e1", caller.address, 1))
+            read = await client.read_state(order_types.ReadEngineState("e1", caller.address, 1))
             assert read.state is not None
             assert read.state.incarnation > 0
             assert order_types.LoadedWeights("a", "v2") in read.state.weights
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -318,7 +318,7 @@
             operation = speaks.decode("POST", "/instances/i-1/heartbeat", "", body)
         except errors.RequestRefusedError:
             continue
-        assert upstream_types.fault(operation.announcement) == ""
+        assert upstream_types.invalid_reason(operation.announcement) == ""
         registry.announce(operation.announcement, 0.1)
     assert sound.announcement in registry.present
 
@@ -361,12 +361,12 @@
             {"WindowIndex": 353445120, "Counts": {"hule930": 412}},
         ),
         (
-            duty_types.OrderEngines("huvo11a", "recife-hall", 6, False),
+            duty_types.ScaleEngines("huvo11a", "recife-hall", 6, False),
             "/scale",
             {"Service": "huvo11a", "Zone": "recife-hall", "DesiredCount": 6},
         ),
         (
-            duty_types.OrderEngines("huvo11a", "recife-hall", 6, True),
+            duty_types.ScaleEngines("huvo11a", "recife-hall", 6, True),
             "/scale",
             {"Service": "huvo11a", "Zone": "recife-hall", "DesiredCount": 6, "Spot": True},
         ),
--- a/tests/test_view_delta.py
+++ b/tests/test_view_delta.py
@@ -143,7 +143,7 @@
 
 
 @given(st.lists(STEPS, max_size=60))
-def test_a_view_never_goes_back_and_ends_equal_to_controls(steps):
+def test_a_view_never_goes_back_and_converges_to_that_of_control(steps):
     world = World()
     for step in steps:
         world.do(step)
@@ -179,7 +179,7 @@
     )
 
 
-def test_loads_cost_neither_a_notice_nor_whole_members(world):
+def test_loads_cost_neither_a_notice_nor_full_members(world):
     number = world.number + 1
     sender = dataclasses.replace(world.member_by_id["e2"], load=0.9)
     world.service.expire(world.now)
@@ -189,7 +189,7 @@
     assert (delta.changed, delta.removed, delta.load_by_id) == ((), (), {"e2": 0.9})
 
 
-def test_a_change_of_members_does_not_bring_along_loads_that_are_not_due(world):
+def test_a_membership_change_includes_no_loads_that_are_not_due(world):
     world.beat("e2", load=0.9)
     world.beat("e3", load=0.9)
     world.ask()
@@ -201,7 +201,7 @@
     assert [world.view.member_by_id[entry_id].load for entry_id in ("e2", "e3")] == [0.9, 0.0]
 
 
-def test_a_delta_leads_to_the_newest_view_whoever_asked_for_it_before(world):
+def test_a_cached_delta_is_replaced_after_each_new_view(world):
     base = world.session.view.version
     for entry_id in ("e8", "e9"):
         world.beat(entry_id)
@@ -210,7 +210,7 @@
         assert world.service.views.since(base).version == world.view.version
 
 
-def test_the_loads_of_one_view_are_bounded_and_the_largest_moves_go_first(monkeypatch):
+def test_the_loads_of_one_view_are_bounded_and_the_largest_changes_go_first(monkeypatch):
     monkeypatch.setattr(_member_leases, "_LOADS_PER_VIEW", 2)
     world = World()
     for entry_id in OTHERS:
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("hosts", [390])
-def test_one_join_and_moving_loads_cost_a_bounded_number_of_bytes(hosts):
+def test_one_join_and_changing_loads_cost_a_bounded_number_of_bytes(hosts):
     world = World()
     for number in range(hosts):
         world.beat(f"entry-{number:03d}")
@@ -277,7 +277,7 @@
         (delta_of((1, 1), (1, 2)), (1, 2)),
     ],
 )
-def test_a_delta_applies_only_to_its_base_and_a_damaged_one_makes_the_host_ask_again(
+def test_a_delta_applies_only_to_its_base_and_an_inconsistent_one_triggers_a_full_view(
     delta, asks_for
 ):
     world = World()
--- a/tests/test_weight_store.py
+++ b/tests/test_weight_load_scheduler.py
@@ -4,9 +4,9 @@
 import pytest
 from hypothesis import strategies as st
 
-from medlarfork.orders import weight_store
+from medlarfork.orders import weight_load_scheduler
 
-SETTINGS = weight_store.StoreSettings(bytes_per_second=40.0, lanes=4, small_bytes=20)
+SETTINGS = weight_load_scheduler.WeightStoreSettings(bytes_per_second=40.0, lanes=4, small_bytes=20)
 LANE_RATE = 10.0
 
 
@@ -66,8 +66,8 @@
 
 @hypothesis.given(OPERATIONS)
 @hypothesis.settings(max_examples=150)
-def test_grants_equal_a_naive_plan_and_no_second_draws_more_than_the_rate(operations):
-    store, naive = weight_store.WeightStore(SETTINGS), NaivePlan()
+def test_grants_match_a_naive_scheduler_and_never_exceed_the_rate(operations):
+    store, naive = weight_load_scheduler.WeightLoadScheduler(SETTINGS), NaivePlan()
     now, running = 0.0, []
     for number, (kind, value, size) in enumerate(operations):
         if kind == "request":
@@ -86,8 +86,10 @@
         assert naive.bytes_in_second(second) <= SETTINGS.bytes_per_second + 1e-6
 
 
-def test_a_load_that_ends_early_keeps_its_lane_until_its_bytes_are_paid():
-    store = weight_store.WeightStore(weight_store.StoreSettings(20.0, lanes=2, small_bytes=0))
+def test_a_load_that_ends_early_keeps_its_lane_until_its_transfer_time_is_over():
+    store = weight_load_scheduler.WeightLoadScheduler(
+        weight_load_scheduler.WeightStoreSettings(20.0, lanes=2, small_bytes=0)
+    )
     store.request("a", "one", 100)
     assert [grant.load_id for grant in store.grant(0.0)] == ["a"]
     store.release("a")
@@ -98,7 +100,7 @@
 
 
 def test_a_small_load_does_not_wait_for_large_ones():
-    store = weight_store.WeightStore(SETTINGS)
+    store = weight_load_scheduler.WeightLoadScheduler(SETTINGS)
     for number in range(10):
         store.request(f"large-{number}", f"engine-{number}", 10_000)
     assert len(store.grant(0.0)) == 3
@@ -107,7 +109,9 @@
 
 
 def test_an_engine_with_many_loads_takes_turns_with_one_that_has_few():
-    store = weight_store.WeightStore(weight_store.StoreSettings(20.0, lanes=2, small_bytes=0))
+    store = weight_load_scheduler.WeightLoadScheduler(
+        weight_load_scheduler.WeightStoreSettings(20.0, lanes=2, small_bytes=0)
+    )
     for number in range(10):
         store.request(f"many-{number}", "many", 100)
     store.request("few", "few", 100)
@@ -119,8 +123,10 @@
     assert "few" in order[:2]
 
 
-def test_a_withdrawn_request_costs_its_engine_nothing():
-    store = weight_store.WeightStore(weight_store.StoreSettings(20.0, lanes=2, small_bytes=0))
+def test_a_cancelled_load_does_not_count_against_its_engine():
+    store = weight_load_scheduler.WeightLoadScheduler(
+        weight_load_scheduler.WeightStoreSettings(20.0, lanes=2, small_bytes=0)
+    )
     store.request("withdrawn", "one", 1_000)
     store.release("withdrawn")
     store.request("a", "one", 100)
@@ -129,14 +135,16 @@
 
 
 def test_the_queue_is_bounded():
-    settings = weight_store.StoreSettings(20.0, max_waiting=1)
-    store = weight_store.WeightStore(settings)
+    settings = weight_load_scheduler.WeightStoreSettings(20.0, max_waiting=1)
+    store = weight_load_scheduler.WeightLoadScheduler(settings)
     assert store.request("a", "one", 1)
     assert not store.request("b", "two", 1)
 
 
 def test_a_load_of_an_earlier_planner_holds_a_lane():
-    store = weight_store.WeightStore(weight_store.StoreSettings(20.0, lanes=2, small_bytes=0))
+    store = weight_load_scheduler.WeightLoadScheduler(
+        weight_load_scheduler.WeightStoreSettings(20.0, lanes=2, small_bytes=0)
+    )
     store.occupy("old", 100, 0.0)
     store.request("new", "one", 100)
     assert store.grant(5.0) == ()
