--- a/src/medlarfork/backpressure/__init__.py
+++ b/src/medlarfork/backpressure/__init__.py
@@ -1,1 +1,1 @@
-"""Backpressure signals in upstreams' answers: rate limits, pauses, and leaving."""
+"""Backpressure signals in upstreams' responses: rate limits, backoffs, and graceful stops."""
--- a/src/medlarfork/backpressure/send_gate.py
+++ b/src/medlarfork/backpressure/send_gate.py
@@ -1,9 +1,9 @@
-"""Decide when an upstream may get its next request, by its backpressure signals: pure.
+"""Pace requests to upstreams by their rate limits and backoffs. Pure: no I/O, no clock.
 
-The load that this answers: engines that shed load, and engines in need that limit the rate of
-requests from all hosts together. The owner of placement paces requests at the whole rate, like a
-token bucket with a short burst; a host that places alone at its part of one half, since an owner
-may be placing at the same time.
+It serves two cases: engines that shed load with Retry-After, and overloaded engines that limit the
+request rate of all entry hosts together. The placement owner paces requests at the full rate, like
+a token bucket with a short burst. An entry host that places without an owner uses its part of half
+the rate, since an owner may be placing at the same time.
 """
 
 from __future__ import annotations
@@ -11,69 +11,69 @@
 from medlarfork.backpressure import signal_ledger
 
 MIN_RATE = 0.1
-"""Requests a second that are sent to an upstream that names less: only an answer tells that the
-limit has ended."""
+"""Requests a second sent to an upstream that states a lower limit, even 0. Only another response
+can show that the limit has ended."""
 
 BURST_S = 0.25
-"""Unused time that a burst may catch up, in seconds: requests come in bursts, and a limit that is
-not used up costs their callers."""
+"""Unused send time that a burst may catch up on, in seconds. Requests arrive in bursts, and
+callers pay for a limit that is not fully used."""
 
 
 class SendGate:
-    """Pace requests by limits and pauses; the time is handed in, in seconds."""
+    """Pace requests by rate limits and backoffs; callers pass the time, in seconds."""
 
     def __init__(self, ledger: signal_ledger.SignalLedger) -> None:
-        """Go by what a ledger holds."""
+        """Use the signals of a ledger."""
         self._ledger = ledger
         self._due_at_by_upstream: dict[str, float] = {}
 
     @property
     def is_unrestricted(self) -> bool:
-        """Return whether no upstream has signalled anything."""
+        """Return whether no upstream has sent any signal."""
         return self._ledger.is_empty
 
     def is_leaving(self, upstream_id: str) -> bool:
-        """Return whether an upstream takes no request any more."""
+        """Return whether an upstream is leaving and accepts no more requests."""
         return self._ledger.is_leaving(upstream_id)
 
     def rate(self, upstream_id: str, share: float = 1.0) -> float | None:
-        """Return how many requests a second an upstream may get from here; None for no limit.
+        """Return the request rate allowed from here, in requests a second; None for no limit.
 
         Args:
             upstream_id: The incarnation.
-            share: This place's part of what the upstream takes.
+            share: The fraction of the upstream's limit that may be used here.
         """
         rate = self._ledger.rate(upstream_id)
         return None if rate is None else max(rate, MIN_RATE) * share
 
     def wait_s(self, upstream_id: str, entry_id: str, now: float, share: float = 1.0) -> float:
-        """Return how long an upstream is to get no request, in seconds; 0 if it may get one.
+        """Return the time until an upstream may get a request, in seconds; 0 if it may get one now.
 
         Args:
             upstream_id: The incarnation.
-            entry_id: The entry host that would send it.
+            entry_id: The entry host that would send the request.
             now: The time in seconds.
-            share: This place's part of what the upstream takes.
+            share: The fraction of the upstream's limit that may be used here.
         """
-        paused_s = max(0.0, self._ledger.backoff_until(upstream_id, entry_id) - now)
-        return max(paused_s, self._paced_s(upstream_id, now, share))
+        backoff_s = max(0.0, self._ledger.backoff_until(upstream_id, entry_id) - now)
+        return max(backoff_s, self._rate_wait_s(upstream_id, now, share))
 
-    def _paced_s(self, upstream_id: str, now: float, share: float) -> float:
+    def _rate_wait_s(self, upstream_id: str, now: float, share: float) -> float:
         rate = self.rate(upstream_id, share)
         if rate is None:
             return 0.0
         interval_s = 1.0 / rate
-        # What was sent before the limit was known counts as one request just now.
+        # Requests sent before the limit was known count as one request sent when it was recorded.
         first_at = self._ledger.limited_since(upstream_id) + interval_s
         due_at = max(self._due_at_by_upstream.get(upstream_id, first_at), first_at)
         if due_at > now + interval_s:
-            # The limit has risen meanwhile.
+            # The limit has been raised since the last request.
             due_at = now + interval_s
             self._due_at_by_upstream[upstream_id] = due_at
         return max(0.0, due_at - now)
 
     def record_send(self, upstream_id: str, now: float, share: float = 1.0) -> None:
-        """Count a request that is sent now."""
+        """Count a request that is sent now against the limit."""
         rate = self.rate(upstream_id, share)
         if rate is None:
             self._due_at_by_upstream.pop(upstream_id, None)
@@ -82,7 +82,7 @@
         self._due_at_by_upstream[upstream_id] = max(due_at, now - BURST_S) + 1.0 / rate
 
     def evict_unlimited(self) -> None:
-        """Drop what is kept of upstreams that name no limit any more."""
+        """Remove the pacing state of upstreams that have no limit any more."""
         for upstream_id in tuple(self._due_at_by_upstream):
             if self._ledger.rate(upstream_id) is None:
                 del self._due_at_by_upstream[upstream_id]
--- a/src/medlarfork/backpressure/signal_ledger.py
+++ b/src/medlarfork/backpressure/signal_ledger.py
@@ -1,8 +1,8 @@
-"""Keep the backpressure signals of upstreams, as a mergeable state: pure.
+"""Mergeable state of the upstreams' backpressure signals. Pure: no I/O, no clock.
 
-The load that this answers: an upstream in need that all hosts go on using, since only one of them,
-or none, has read its signal. Entry hosts and replicas keep a ledger each and exchange reports; of
-each limit the latest one wins, so ledgers that merged the same reports agree, in whatever order.
+Without it, entry hosts would keep loading an overloaded upstream because only one of them, or none,
+has read its signal. Entry hosts and replicas each keep a ledger and exchange reports. For each
+limit the latest observation wins, so ledgers that merged the same reports agree, in any order.
 """
 
 from __future__ import annotations
@@ -13,45 +13,47 @@
 from medlarfork.backpressure import signal_messages
 
 SAME_RATE_TOLERANCE = 0.05
-"""Share by which a limit may differ from the one known and pass for the same: an upstream that
-names another fraction with each answer would else cost a message to each replica with each."""
+"""Relative difference up to which two limits count as equal. Otherwise an upstream that states a
+slightly different rate with each response would cause a message to every replica each time."""
 
 ENDED_LIMIT_RETENTION_S = 30.0
-"""How long a limit that has ended is remembered, in seconds, so that a late report of it does not
-bring it back: longer than any message is under way."""
+"""How long an ended limit is remembered, in seconds, so that a delayed report does not revive
+it. Longer than any message latency."""
 
 LIMIT_RETENTION_S = 600.0
-"""How long a limit is kept that was not reported again, in seconds: its upstream is gone by then,
-or is tried again at its limit and names it anew."""
+"""How long a limit is kept without a new report, in seconds. By then its upstream has gone, or
+is probed at the limit and states it again."""
 
 SETTLE_S = 0.25
-"""How much longer than since a limit was named a request must have been sent for its answer to end
-the limit, in seconds: more than a report is under way, whose age is reckoned from its arrival."""
+"""Margin in seconds: a response without a limit ends a known limit only if its request was sent
+at least this long after the limit was observed. It exceeds the latency of a report, whose age
+counts from its arrival."""
 
 REFRESH_S = 60.0
-"""Time after which a limit that is still named counts as news, in seconds: several times within
-``LIMIT_RETENTION_S``, after which ledgers that only get news forget it."""
+"""Interval after which an unchanged limit counts as an update again, in seconds. It fits several
+times into ``LIMIT_RETENTION_S``, after which ledgers that receive only updates would evict the
+limit."""
 
 MAX_LIMITS = 10_000
-"""Upstreams with a limit that are kept, about 2 MB; the oldest go first."""
+"""Upstreams whose limits are kept, about 2 MB; the oldest are evicted first."""
 
 LEAVING_RETENTION_S = 600.0
-"""How long it is remembered that an upstream is leaving, in seconds: far longer than it stays."""
+"""How long a leaving upstream is remembered, in seconds: far longer than it keeps running."""
 
 MAX_BACKOFFS = 50_000
-"""Pauses that are kept, about 13 MB: all hosts of a large fleet turned away by a hundred upstreams.
-Those that end first go first."""
+"""Backoffs that are kept, about 13 MB: all entry hosts of a large fleet rejected by a hundred
+upstreams. Those that end first are evicted first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Limit:
-    """Hold the latest report of an upstream's limit.
+    """The latest observation of an upstream's limit.
 
     Attributes:
-        rate: Requests a second; None once it has ended.
-        at: When it was observed, in seconds of the holder's clock.
-        since: When this ledger learnt of the limit.
-        changed_at: When this ledger took this report.
+        rate: Requests a second; None once the limit has ended.
+        at: When it was observed, in seconds of the local clock.
+        since: When this ledger first recorded the limit.
+        changed_at: When this ledger recorded this observation.
     """
 
     rate: float | None
@@ -62,10 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MergeResult:
-    """Hold what a report changed.
+    """The effect of merging a report.
 
     Attributes:
-        changed: Upstreams whose limit it changed.
+        changed: Upstreams whose limit the report changed.
         outdated: Upstreams for which this ledger has a later and different limit.
     """
 
@@ -74,91 +76,95 @@
 
 
 class SignalLedger:
-    """Keep the latest signals; the time is handed in, in seconds of a clock of the holder's own."""
+    """Keep the latest signals; callers pass the time, in seconds of one local clock."""
 
     def __init__(self) -> None:
         """Start without any signal."""
         self._limit_by_upstream: dict[str, _Limit] = {}
-        self._pause_until_by_pair: dict[tuple[str, str], float] = {}
+        self._backoff_until_by_pair: dict[tuple[str, str], float] = {}
         self._leaving_since_by_upstream: dict[str, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no upstream has signalled anything."""
+        """Return whether no upstream has sent any signal."""
         return not (
-            self._limit_by_upstream or self._pause_until_by_pair or self._leaving_since_by_upstream
+            self._limit_by_upstream
+            or self._backoff_until_by_pair
+            or self._leaving_since_by_upstream
         )
 
     @property
     def limited(self) -> int:
-        """Return how many upstreams name a limit."""
+        """Return the number of upstreams with a rate limit."""
         return sum(limit.rate is not None for limit in self._limit_by_upstream.values())
 
     def rate(self, upstream_id: str) -> float | None:
-        """Return how many requests a second an upstream takes from all hosts; None for no limit."""
+        """Return an upstream's limit for all hosts, in requests a second; None for no limit."""
         limit = self._limit_by_upstream.get(upstream_id)
         return None if limit is None else limit.rate
 
     def limited_since(self, upstream_id: str) -> float:
-        """Return when this ledger learnt that an upstream has a limit, in seconds."""
+        """Return when this ledger first recorded the current limit of an upstream, in seconds."""
         return self._limit_by_upstream[upstream_id].since
 
     def record_response(
         self, upstream_id: str, rate: float | None, *, sent_at: float, now: float
     ) -> bool:
-        """Take the limit that an answer names, or that it names none; return whether that is news.
+        """Record the limit in a response, or its absence; return whether that is an update.
 
-        An answer without a limit ends the one known only if its request was sent some time after
-        that was named: answers on different connections overtake each other.
+        A response without a limit ends a known limit only if its request was sent some time after
+        the limit was observed, since responses on different connections overtake each other.
 
         Args:
-            upstream_id: The incarnation that answered.
-            rate: The limit that the answer names; None if it names none.
-            sent_at: When the answer's request was sent, in seconds.
+            upstream_id: The incarnation that responded.
+            rate: The limit that the response states; None if it states none.
+            sent_at: When the request was sent, in seconds.
             now: The time in seconds.
         """
         if rate is None and upstream_id not in self._limit_by_upstream:
             return False
-        return self._take(upstream_id, rate, sent_at - SETTLE_S if rate is None else now, now)
+        return self._update_limit(
+            upstream_id, rate, sent_at - SETTLE_S if rate is None else now, now
+        )
 
     def backoff_until(self, upstream_id: str, entry_id: str) -> float:
-        """Return until when an upstream wants no request from an entry host, in seconds."""
-        return self._pause_until_by_pair.get((upstream_id, entry_id), -math.inf)
+        """Return when an upstream's backoff for an entry host ends, in seconds."""
+        return self._backoff_until_by_pair.get((upstream_id, entry_id), -math.inf)
 
     def record_backoff(self, upstream_id: str, entry_id: str, until: float, now: float) -> bool:
-        """Note a pause that an upstream asked an entry host for; return whether that is news."""
+        """Record a backoff requested from an entry host; return whether that is an update."""
         pair = upstream_id, entry_id
-        if until <= max(now, self._pause_until_by_pair.get(pair, now)):
+        if until <= max(now, self._backoff_until_by_pair.get(pair, now)):
             return False
-        self._pause_until_by_pair[pair] = until
-        if len(self._pause_until_by_pair) > MAX_BACKOFFS:
-            first = min(self._pause_until_by_pair, key=self._pause_until_by_pair.__getitem__)
-            del self._pause_until_by_pair[first]
+        self._backoff_until_by_pair[pair] = until
+        if len(self._backoff_until_by_pair) > MAX_BACKOFFS:
+            first = min(self._backoff_until_by_pair, key=self._backoff_until_by_pair.__getitem__)
+            del self._backoff_until_by_pair[first]
         return True
 
     def is_leaving(self, upstream_id: str) -> bool:
-        """Return whether an upstream has said that it is leaving; that is final for it."""
+        """Return whether an upstream reported that it is leaving, which is final for it."""
         return upstream_id in self._leaving_since_by_upstream
 
     def record_leaving(self, upstream_id: str, now: float) -> bool:
-        """Note that an upstream is leaving; return whether that is news."""
+        """Record that an upstream is leaving; return whether that is an update."""
         if self.is_leaving(upstream_id):
             return False
         self._leaving_since_by_upstream[upstream_id] = now
         return True
 
     def merge(self, report: signal_messages.SignalReport, now: float) -> MergeResult:
-        """Merge what another ledger reports."""
+        """Merge a report from another ledger."""
         changed: list[str] = []
         outdated: list[str] = []
         for limit in report.limits:
             at = now - limit.ago_s
-            if self._take(limit.upstream_id, limit.rate, at, now):
+            if self._update_limit(limit.upstream_id, limit.rate, at, now):
                 changed.append(limit.upstream_id)
             elif not _is_same(self.rate(limit.upstream_id), limit.rate):
                 outdated.append(limit.upstream_id)
-        for pause in report.pauses:
-            self.record_backoff(pause.upstream_id, pause.entry_id, now + pause.left_s, now)
+        for backoff in report.pauses:
+            self.record_backoff(backoff.upstream_id, backoff.entry_id, now + backoff.left_s, now)
         for upstream_id in report.leaving:
             self.record_leaving(upstream_id, now)
         return MergeResult(tuple(changed), tuple(outdated))
@@ -169,20 +175,20 @@
         return tuple(upstream_id for upstream_id, limit in known if limit.changed_at >= at)
 
     def known(self) -> tuple[str, ...]:
-        """Return all upstreams that have signalled anything."""
-        paused = (upstream_id for upstream_id, _ in self._pause_until_by_pair)
+        """Return all upstreams with any signal."""
+        backing_off = (upstream_id for upstream_id, _ in self._backoff_until_by_pair)
         leaving = self._leaving_since_by_upstream
-        return tuple(dict.fromkeys((*self._limit_by_upstream, *paused, *leaving)))
+        return tuple(dict.fromkeys((*self._limit_by_upstream, *backing_off, *leaving)))
 
     def report(
         self, upstream_ids: tuple[str, ...], now: float, *, entry_id: str = ""
     ) -> signal_messages.SignalReport:
-        """Return what is known of some upstreams, for another ledger.
+        """Build a report on some upstreams for another ledger.
 
         Args:
             upstream_ids: The upstreams.
             now: The time in seconds.
-            entry_id: The entry host whose pauses are included; empty for none.
+            entry_id: The entry host whose backoffs are included; empty for none.
         """
         named = (
             (upstream_id, self._limit_by_upstream.get(upstream_id)) for upstream_id in upstream_ids
@@ -192,42 +198,42 @@
             for upstream_id, limit in named
             if limit is not None
         )
-        lefts = (
+        remaining = (
             (upstream_id, self.backoff_until(upstream_id, entry_id) - now)
             for upstream_id in upstream_ids
         )
-        pauses = tuple(
+        backoffs = tuple(
             signal_messages.Backoff(upstream_id, entry_id, left_s)
-            for upstream_id, left_s in lefts
+            for upstream_id, left_s in remaining
             if left_s > 0
         )
         leaving = tuple(filter(self.is_leaving, upstream_ids))
-        return signal_messages.SignalReport(limits, pauses, leaving)
+        return signal_messages.SignalReport(limits, backoffs, leaving)
 
     def whole(self, now: float) -> signal_messages.SignalReport:
-        """Return everything, the pauses of all entry hosts included."""
+        """Build a complete report, including the backoffs of all entry hosts."""
         report = self.report(self.known(), now)
-        pauses = tuple(
+        backoffs = tuple(
             signal_messages.Backoff(upstream_id, entry_id, until - now)
-            for (upstream_id, entry_id), until in self._pause_until_by_pair.items()
+            for (upstream_id, entry_id), until in self._backoff_until_by_pair.items()
             if until > now
         )
-        return dataclasses.replace(report, pauses=pauses)
+        return dataclasses.replace(report, pauses=backoffs)
 
     def tidy(self, now: float) -> None:
-        """Drop signals that have expired."""
+        """Evict expired signals."""
         for upstream_id, limit in tuple(self._limit_by_upstream.items()):
             kept_s = ENDED_LIMIT_RETENTION_S if limit.rate is None else LIMIT_RETENTION_S
             if max(limit.at, limit.changed_at) + kept_s < now:
                 del self._limit_by_upstream[upstream_id]
-        for pair, until in tuple(self._pause_until_by_pair.items()):
+        for pair, until in tuple(self._backoff_until_by_pair.items()):
             if until <= now:
-                del self._pause_until_by_pair[pair]
+                del self._backoff_until_by_pair[pair]
         for upstream_id, since in tuple(self._leaving_since_by_upstream.items()):
             if since + LEAVING_RETENTION_S < now:
                 del self._leaving_since_by_upstream[upstream_id]
 
-    def _take(self, upstream_id: str, rate: float | None, at: float, now: float) -> bool:
+    def _update_limit(self, upstream_id: str, rate: float | None, at: float, now: float) -> bool:
         known = self._limit_by_upstream.get(upstream_id)
         if known is not None and at <= known.at:
             return False
--- a/src/medlarfork/backpressure/signal_messages.py
+++ b/src/medlarfork/backpressure/signal_messages.py
@@ -1,6 +1,7 @@
-"""Define the messages in which entry hosts and replicas exchange backpressure signals.
+"""Messages in which entry hosts and replicas exchange backpressure signals.
 
-Any message may be lost, late or repeated: reports are merged, in any order, to the same state.
+Messages may be lost, delayed or repeated. Merging reports is commutative and idempotent, so the
+order of arrival does not matter.
 """
 
 from __future__ import annotations
@@ -10,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimit:
-    """Tell the latest rate limit of one incarnation of an upstream.
+    """The latest known rate limit of one upstream incarnation.
 
     Attributes:
         upstream_id: The incarnation.
-        rate: Requests a second that it takes from all hosts together; None if it names no limit
-            any more.
-        ago_s: How long ago that was known, in seconds: clocks of different hosts have nothing in
-            common.
+        rate: Requests a second that it accepts from all entry hosts together; None once it states
+            no limit any more.
+        ago_s: Age of the observation, in seconds. Ages are sent because the clocks of different
+            hosts are not comparable.
     """
 
     upstream_id: str
@@ -27,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backoff:
-    """Tell that an incarnation of an upstream wants no request from an entry host for a while.
+    """A request by an upstream incarnation that one entry host send it nothing for a while.
 
     Attributes:
         upstream_id: The incarnation.
-        entry_id: The entry host that it turned away.
-        left_s: How much longer, in seconds.
+        entry_id: The entry host whose request was rejected.
+        left_s: Remaining time, in seconds.
     """
 
     upstream_id: str
@@ -42,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SignalReport:
-    """Tell what is new, what changed, or what the receiver may not know.
+    """Signals that are new, have changed, or may be missing at the receiver.
 
     Attributes:
-        limits: Rate limits, and those that ended.
-        pauses: Pauses that entry hosts were asked for.
-        leaving: Incarnations that say that they are leaving.
+        limits: Rate limits, including those that have ended.
+        pauses: Backoffs that upstreams requested from entry hosts.
+        leaving: Incarnations that reported that they are leaving.
     """
 
     limits: tuple[RateLimit, ...] = ()
@@ -56,13 +57,13 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether it tells nothing."""
+        """Return whether the report carries no signal."""
         return not (self.limits or self.pauses or self.leaving)
 
 
 RESEND_WINDOW_S = 2.0
-"""How long news are told again with each status, in seconds: a link that is being opened again
-loses what is sent meanwhile."""
+"""How long an update is resent with each status message, in seconds. A link that is being
+reopened drops what is sent meanwhile."""
 
 SIGNAL_MESSAGES: tuple[type, ...] = (SignalReport,)
-"""Every message class of this module, for the codec of the links."""
+"""The message classes of this module, to be registered with the codec of the links."""
--- a/src/medlarfork/backpressure/upstream_signals.py
+++ b/src/medlarfork/backpressure/upstream_signals.py
@@ -1,4 +1,4 @@
-"""Hold what one answer says of the upstream that gave it: pure."""
+"""Parse the backpressure headers of one upstream response. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 import math
 
 MAX_BACKOFF_S = 3600.0
-"""Longest pause that is taken from one answer, in seconds; a longer one is asked for again."""
+"""Longest backoff accepted from one response, in seconds. An upstream that needs longer repeats
+its Retry-After."""
 
 LEAVING = "1"
-"""Value of the header by which an upstream says that it is leaving."""
+"""Header value by which an upstream reports that it is leaving."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamSignals:
-    """Hold what an answer says of its upstream.
+    """The backpressure signals in one upstream response.
 
     Attributes:
-        rate_limit: Requests a second that the upstream takes from all hosts together; None if it
-            names no limit.
-        is_leaving: Whether it is about to stop and takes no further request; final for it.
-        pause_s: How long it wants no request from the receiving host, in seconds; 0 for no pause.
+        rate_limit: Requests a second that the upstream accepts from all entry hosts together; None
+            if the response states no limit.
+        is_leaving: Whether the upstream is about to stop and accepts no further requests. This is
+            final for the incarnation.
+        pause_s: How long the receiving entry host must not send requests, in seconds; 0 for no
+            backoff.
     """
 
     rate_limit: float | None = None
@@ -29,12 +32,12 @@
 
 
 def parse(rate_limit: str, leaving: str, retry_after: str) -> UpstreamSignals:
-    """Return what the headers of an answer say; empty texts and unreadable numbers say nothing.
+    """Parse header values. Empty and malformed values count as absent.
 
     Args:
         rate_limit: Requests a second, a decimal number.
         leaving: ``1`` if the upstream is leaving.
-        retry_after: Seconds, fractions allowed; empty for an answer that turned nothing away.
+        retry_after: Seconds, fractions allowed; empty unless the response rejects the request.
     """
     return UpstreamSignals(
         rate_limit=_number(rate_limit),
@@ -44,7 +47,7 @@
 
 
 def _number(text: str) -> float | None:
-    """Return a number that is finite and not negative; None for everything else."""
+    """Parse a finite, non-negative number; return None for any other text."""
     try:
         number = float(text)
     except ValueError:
--- a/src/medlarfork/claim.py
+++ b/src/medlarfork/claim.py
@@ -1,7 +1,7 @@
-"""Define claims: the durable right to dispatch a not-repeatable request once.
+"""Claims: the durable right to dispatch a not-repeatable request once.
 
 A claim is identified by client account and idempotency key. Control replicates it to a majority
-of the disk hosts before the entry host that asked for it may dispatch.
+of the disk hosts before the entry host that requested it may dispatch.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """Identify a not-repeatable request."""
+    """Key of a not-repeatable request."""
 
     account: str
     key: str
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holder:
-    """Identify who may dispatch: one request on one incarnation of one entry host."""
+    """Holder of a claim: one request on one incarnation of one entry host."""
 
     entry_id: str
     incarnation: int
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """Keep a finished answer for duplicates; ``body`` is empty with ``kept`` False if too large."""
+    """Stored answer for duplicates; if it is too large, ``body`` is empty and ``kept`` is False."""
 
     status: int
     content_type: str
@@ -38,14 +38,14 @@
 
 
 class Verdict(enum.StrEnum):
-    """Say what a claim request found.
+    """Result of a claim request.
 
-    GRANTED: the asker holds the claim and may dispatch once.
-    RUNNING: another live holder has it; ask again or give up with ``may_have_run``.
+    GRANTED: the requester holds the claim and may dispatch once.
+    RUNNING: another live holder has it; retry or give up with ``may_have_run``.
     DONE: it ran; the stored answer comes with the reply.
     ALREADY_RAN: it ran and its answer is no longer kept.
-    HOLDER_LOST: its holder died or was replaced; it may have run and never will again.
-    KEY_EXPIRED: the key carries a time older than retention; it was not run now.
+    HOLDER_LOST: its holder died or was replaced; it may have run and will not run again.
+    KEY_EXPIRED: the key contains a time older than the retention; the request was not run.
     KEY_REUSED: the key was used with another body.
     FULL: the claim table is full; not run.
     NO_QUORUM: control has no majority; not run.
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Ask for a claim. Resending the same holder and key is answered the same way."""
+    """Request a claim. A resent request of the same holder and key gets the same reply."""
 
     key: ClaimKey
     holder: Holder
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Answer a claim request."""
+    """Reply to a claim request."""
 
     key: ClaimKey
     holder: Holder
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimFinish:
-    """Record that the holder's one dispatch ended; ``answer`` None means it may have run."""
+    """Record that the holder's only dispatch ended; ``answer`` None means that it may have run."""
 
     key: ClaimKey
     holder: Holder
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimAbandon:
-    """Give a claim back: the holder never dispatched and never will."""
+    """Abandon a claim: the holder has not dispatched and will not."""
 
     key: ClaimKey
     holder: Holder
--- a/src/medlarfork/control/__init__.py
+++ b/src/medlarfork/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control node: the log's state, claims, leases of entry hosts, and its program."""
+"""The control node: replicated state, claims, leases of entry hosts, and its program."""
--- a/src/medlarfork/control/_change_table.py
+++ b/src/medlarfork/control/_change_table.py
@@ -1,4 +1,4 @@
-"""Decide changes of configuration: one winner for each revision, one answer for each change id."""
+"""Configuration changes: one winner per revision, and one answer per change id."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 _ENCODER = msgspec.msgpack.Encoder(order="deterministic")
 _COMPRESSION = 1
-"""Level of zlib: the fastest."""
+"""Compression level of zlib: the fastest."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeLimits:
-    """Bound the change table; must be equal on all replicas.
+    """Limits of the change table; must be equal on all replicas.
 
     Attributes:
-        remembered: Change ids whose answers are kept.
+        remembered: Maximum change ids whose answers are kept.
         remembered_ms: How long the answers are kept.
-        id_ahead_ms: How far the time in a change id may lie ahead of the log's time.
-        configurations: Last configurations kept whole, as bases of deltas.
-        history: Last accepted changes whose records are kept.
+        id_ahead_ms: How far the time in a change id may be ahead of the log's time.
+        configurations: Number of latest configurations kept in full, as bases of deltas.
+        history: Number of latest accepted changes whose records are kept.
     """
 
     remembered: int = 10_000
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """Describe one accepted change."""
+    """Record of one accepted change."""
 
     revision: int
     change_id: str
@@ -60,14 +60,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeAnswer:
-    """Answer a change.
+    """Answer to a change.
 
     Attributes:
-        change_id: The change's own id.
-        revision: The revision it became, or, if refused, the current one at that time.
+        change_id: The id of the change.
+        revision: The revision that the change created or, if refused, the current one at that time.
         code: Why it was refused; None if it was accepted.
-        winner: For a conflict: the change that was accepted from the same base revision, or
-            the last accepted one if that is no longer known.
+        winner: For a conflict: the change that was accepted from the same base revision, or the
+            last accepted one if that is no longer known.
     """
 
     change_id: str
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RememberedAnswer:
-    """Keep a change's answer with the digest of what was asked."""
+    """Answer to a change, with the digest of its content."""
 
     answer: ChangeAnswer
     digest: bytes
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeptConfiguration:
-    """Keep one accepted configuration compressed; most are only read as the base of a delta."""
+    """Accepted configuration, compressed; most are only read as the base of a delta."""
 
     revision: int
     compressed: bytes
@@ -95,9 +95,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeTableState:
-    """Hold the table for a snapshot; each tuple has its oldest element first.
+    """State of the table in a snapshot; each tuple has its oldest element first.
 
-    ``forgotten_ms`` is the highest time among the change ids that are no longer remembered.
+    ``forgotten_ms`` is the highest time among the change ids that were evicted.
     """
 
     revision: int = 0
@@ -108,10 +108,10 @@
 
 
 class ChangeTable:
-    """Decide changes; equal changes at equal log times lead to equal tables."""
+    """Decides changes; equal changes at equal log times lead to equal tables."""
 
     def __init__(self, limits: ChangeLimits, state: ChangeTableState | None = None) -> None:
-        """Start at revision 0, the empty configuration, or from a snapshot."""
+        """Start with revision 0, the empty configuration, or from a snapshot."""
         state = state or ChangeTableState()
         self._limits = limits
         self._revision = state.revision
@@ -130,7 +130,7 @@
         return heartbeat.RevisionedConfiguration(self._revision, self._current)
 
     def state(self) -> ChangeTableState:
-        """Return the table for a snapshot."""
+        """Return the state for a snapshot."""
         return ChangeTableState(
             self._revision,
             tuple(self._kept_by_revision.values()),
@@ -140,7 +140,7 @@
         )
 
     def configuration_at(self, revision: int) -> configuration.Configuration | None:
-        """Return the configuration of a revision, if it is still kept."""
+        """Return the configuration of a revision; None if it is no longer kept."""
         if revision == 0:
             return configuration.Configuration()
         kept = self._kept_by_revision.get(revision)
@@ -154,18 +154,18 @@
         records = list(self._record_by_revision.values())
         return tuple(reversed(records[-limit:])) if limit > 0 else ()
 
-    def remembers(self, change_id: str) -> bool:
+    def has_answer(self, change_id: str) -> bool:
         """Return whether the answer to a change is kept."""
         return change_id in self._remembered_by_id
 
     def decide(self, change: ConfigurationChange, now_ms: int) -> ChangeAnswer:
-        """Accept or refuse the change, or repeat the first answer to it."""
-        self._forget(now_ms)
+        """Accept or refuse the change, or repeat the first answer to its id."""
+        self._evict(now_ms)
         digest = _digest(change)
         known = self._remembered_by_id.get(change.change_id)
         if known is not None:
-            return self._repeated(known, digest)
-        code = self._code_for_id(change.change_id, now_ms)
+            return self._repeat_answer(known, digest)
+        code = self._refusal_of_id(change.change_id, now_ms)
         if code is not None:
             return ChangeAnswer(change.change_id, self._revision, code)
         if change.base_revision == self._revision:
@@ -175,14 +175,14 @@
         self._remembered_by_id[change.change_id] = RememberedAnswer(answer, digest, now_ms)
         return answer
 
-    def _repeated(self, known: RememberedAnswer, digest: bytes) -> ChangeAnswer:
+    def _repeat_answer(self, known: RememberedAnswer, digest: bytes) -> ChangeAnswer:
         if known.digest == digest:
             return known.answer
         return ChangeAnswer(known.answer.change_id, self._revision, errors.Code.KEY_REUSED)
 
-    def _code_for_id(self, change_id: str, now_ms: int) -> errors.Code | None:
+    def _refusal_of_id(self, change_id: str, now_ms: int) -> errors.Code | None:
         id_ms = uuid7.time_ms(change_id)
-        # An id from far ahead would, once forgotten, make every id before it count as forgotten.
+        # Once evicted, an id from far in the future would make all earlier ids count as evicted.
         ahead = id_ms is not None and id_ms > now_ms + self._limits.id_ahead_ms
         if id_ms is None or ahead or change_id != change_id.lower():
             return errors.Code.BAD_REQUEST
@@ -210,7 +210,7 @@
         code = errors.Code.CHANGE_CONFLICT
         return ChangeAnswer(change.change_id, self._revision, code, winner or last)
 
-    def _forget(self, now_ms: int) -> None:
+    def _evict(self, now_ms: int) -> None:
         while self._remembered_by_id:
             oldest = next(iter(self._remembered_by_id.values()))
             aged = oldest.answered_at_ms + self._limits.remembered_ms <= now_ms
@@ -223,5 +223,5 @@
 
 
 def _digest(change: ConfigurationChange) -> bytes:
-    asked = (change.base_revision, change.configuration)
-    return hashlib.sha256(_ENCODER.encode(asked)).digest()
+    content = (change.base_revision, change.configuration)
+    return hashlib.sha256(_ENCODER.encode(content)).digest()
--- a/src/medlarfork/control/_claim_batches.py
+++ b/src/medlarfork/control/_claim_batches.py
@@ -1,4 +1,4 @@
-"""Gather claim operations so that many share one log entry."""
+"""Batching of claim operations, so that many share one log entry."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from medlarfork.control import replicated_state
 
 _BATCH_LIMIT = 256
-"""Most operations in one log entry."""
+"""Maximum operations in one log entry."""
 
 _BATCH_BYTES = 512 * 1024
-"""Most bytes of stored answers in one log entry, unless a single one is larger."""
+"""Maximum bytes of stored answers in one log entry, unless a single one is larger."""
 
 _IN_FLIGHT_LIMIT = 2
-"""Batches in flight at once; what arrives meanwhile shares the next one."""
+"""Maximum batches in flight; operations that arrive meanwhile share the next one."""
 
 WAITING_LIMIT = 4096
-"""Most operations that wait for a batch; more are refused."""
+"""Maximum operations that wait for a batch; more are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimCall:
-    """Hold one claim operation and who waits for its reply."""
+    """A claim operation and the sender that waits for its reply."""
 
     sender: str
     operation: replicated_state.ClaimOperation
 
 
 class ClaimBatches:
-    """Cut waiting operations into batches and remember those in flight."""
+    """Groups waiting operations into batches and tracks the batches in flight."""
 
     def __init__(self) -> None:
-        """Start with nothing waiting."""
+        """Start empty."""
         self._waiting: collections.deque[ClaimCall] = collections.deque()
         self._calls_by_proposal: dict[str, tuple[ClaimCall, ...]] = {}
 
@@ -42,14 +42,14 @@
         return bool(self._waiting or self._calls_by_proposal)
 
     def add(self, call: ClaimCall) -> bool:
-        """Let an operation wait for the next batch; return False if too many do."""
+        """Queue an operation for the next batch; return False if the queue is full."""
         if len(self._waiting) >= WAITING_LIMIT:
             return False
         self._waiting.append(call)
         return True
 
-    def cut(self, proposal_id: str) -> tuple[ClaimCall, ...]:
-        """Return the next batch, now in flight under that id; empty if none is due."""
+    def next_batch(self, proposal_id: str) -> tuple[ClaimCall, ...]:
+        """Return the next batch, now in flight under the proposal's id; empty if none is due."""
         if not self._waiting or len(self._calls_by_proposal) >= _IN_FLIGHT_LIMIT:
             return ()
         calls: list[ClaimCall] = []
@@ -60,12 +60,12 @@
         self._calls_by_proposal[proposal_id] = tuple(calls)
         return tuple(calls)
 
-    def end(self, proposal_id: str) -> tuple[ClaimCall, ...]:
-        """Return the batch of that id, which is no longer in flight; empty if there is none."""
+    def complete(self, proposal_id: str) -> tuple[ClaimCall, ...]:
+        """Remove and return the batch in flight under that id; empty if there is none."""
         return self._calls_by_proposal.pop(proposal_id, ())
 
-    def end_all(self) -> tuple[ClaimCall, ...]:
-        """Return all that waits or is in flight, and forget it."""
+    def drain(self) -> tuple[ClaimCall, ...]:
+        """Remove and return all operations that wait or are in flight."""
         calls = [call for batch in self._calls_by_proposal.values() for call in batch]
         calls.extend(self._waiting)
         self._calls_by_proposal.clear()
--- a/src/medlarfork/control/_claim_rows.py
+++ b/src/medlarfork/control/_claim_rows.py
@@ -1,4 +1,4 @@
-"""Keep what is needed of every claim in a few bytes: its key's digest and one packed row."""
+"""Compact storage of claims: a digest of the key and one packed row for each."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from medlarfork import claim
 
 DIGEST_BYTES = 15
-"""Size of a key's digest and of a row; a ``bytes`` object of 16 would take 16 bytes more."""
+"""Size of a key's digest and of a row; a ``bytes`` object of 16 bytes takes 16 bytes more."""
 
 _BODY_BYTES = 6
-"""Size of a body's digest. A caller that forges an equal one deceives nobody but itself."""
+"""Size of a body's digest. A caller that forges a collision only deceives itself."""
 
 _EXPIRY = slice(0, 6)
 _ACCOUNT = slice(6, 8)
@@ -24,7 +24,7 @@
 
 
 class State(enum.IntEnum):
-    """Say how far a claim is."""
+    """Progress of a claim."""
 
     RUNNING = 0
     MAY_HAVE_RUN = 1
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """Hold what is kept of a claim until it expires; ``account`` is a number."""
+    """Data kept of a claim until it expires; ``account`` is a number."""
 
     expires_at_ms: int
     account: int
@@ -41,34 +41,34 @@
     body: bytes
 
     def pack(self) -> bytes:
-        """Return the row as bytes of a fixed size."""
+        """Encode the row into bytes of a fixed size."""
         expiry = self.expires_at_ms.to_bytes(6, "big")
         return expiry + self.account.to_bytes(2, "big") + bytes((self.state,)) + self.body
 
 
 def unpack(packed: bytes) -> ClaimRow:
-    """Return a packed row."""
+    """Decode a packed row."""
     expires_at_ms = int.from_bytes(packed[_EXPIRY], "big")
     account = int.from_bytes(packed[_ACCOUNT], "big")
     return ClaimRow(expires_at_ms, account, State(packed[_STATE]), packed[_BODY])
 
 
-def digest_of(key: claim.ClaimKey) -> bytes:
-    """Return what identifies a key."""
+def key_digest(key: claim.ClaimKey) -> bytes:
+    """Return the digest that identifies a key."""
     text = f"{len(key.account)}:{key.account}{key.key}"
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
 
 
-def body_of(body_sha256: str) -> bytes:
-    """Return what identifies a body among those of one key."""
+def body_digest(body_sha256: str) -> bytes:
+    """Return the digest that identifies a body among those of one key."""
     return hashlib.blake2b(body_sha256.encode(), digest_size=_BODY_BYTES).digest()
 
 
 class ClaimRows:
-    """Hold rows by their keys' digests, and find those that have expired.
+    """Rows by digest of the key, with an index by time of expiry.
 
-    Expired rows are looked for by steps of time, so that a claim takes one list item instead of a
-    place of its own in a heap. Rows of a step are found once the whole step has passed.
+    The index has one bucket per time step, so a claim takes one list item instead of an entry of
+    its own in a heap. Rows of a step are found once the complete step has passed.
     """
 
     def __init__(self, *, step_ms: int) -> None:
@@ -83,29 +83,29 @@
         return len(self._row_by_digest)
 
     def get(self, digest: bytes) -> ClaimRow | None:
-        """Return a row, if there is one."""
+        """Return the row of a digest, if there is one."""
         packed = self._row_by_digest.get(digest)
         return None if packed is None else unpack(packed)
 
     def add(self, digest: bytes, row: ClaimRow) -> None:
         """Add a row for a digest that has none."""
         self._row_by_digest[digest] = row.pack()
-        self._list(digest, row.expires_at_ms)
+        self._index(digest, row.expires_at_ms)
 
     def set_state(self, digest: bytes, state: State) -> None:
         """Change a row's state."""
         packed = self._row_by_digest[digest]
         self._row_by_digest[digest] = packed[:_STATE] + bytes((state,)) + packed[_STATE + 1 :]
 
-    def drop(self, digest: bytes) -> None:
-        """Forget a row."""
+    def remove(self, digest: bytes) -> None:
+        """Remove a row."""
         del self._row_by_digest[digest]
 
     def expired(self, now_ms: int) -> Iterator[tuple[bytes, ClaimRow]]:
-        """Yield rows that have expired; each must be dropped before the next is taken.
+        """Yield expired rows; each must be removed before the next is requested.
 
-        The order is the reverse of adding within a step, also after a snapshot: replicas that
-        stop after an equal number have dropped equal rows.
+        Within a step the order is the reverse of insertion, also after a snapshot: replicas that
+        stop after the same number have removed the same rows.
         """
         while self._steps and (self._steps[0] + 1) * self._step_ms <= now_ms + 1:
             step = self._steps[0]
@@ -113,29 +113,29 @@
             while digests:
                 digest = digests.pop()
                 row = self.get(digest)
-                # A claim that was given back and granted anew is listed twice.
+                # A claim that was abandoned and granted again is listed twice.
                 if row is not None and row.expires_at_ms // self._step_ms == step:
                     yield digest, row
             del self._digests_by_step[step]
             heapq.heappop(self._steps)
 
     def pack(self) -> tuple[bytes, bytes]:
-        """Return all digests and all rows, in the order of their adding."""
+        """Return all digests and all rows, in the order of insertion."""
         return b"".join(self._row_by_digest), b"".join(self._row_by_digest.values())
 
     def restore(self, digests: bytes, rows: bytes) -> collections.Counter[int]:
-        """Add all rows that ``pack`` returned, and return how many each account has."""
+        """Add all rows that ``pack`` returned, and return the number of rows of each account."""
         count_by_account: collections.Counter[bytes] = collections.Counter()
         for start in range(0, len(digests), DIGEST_BYTES):
             digest = digests[start : start + DIGEST_BYTES]
             packed = rows[start : start + DIGEST_BYTES]
             self._row_by_digest[digest] = packed
-            self._list(digest, int.from_bytes(packed[_EXPIRY], "big"))
+            self._index(digest, int.from_bytes(packed[_EXPIRY], "big"))
             count_by_account[packed[_ACCOUNT]] += 1
         counts = count_by_account.items()
         return collections.Counter({int.from_bytes(key, "big"): count for key, count in counts})
 
-    def _list(self, digest: bytes, expires_at_ms: int) -> None:
+    def _index(self, digest: bytes, expires_at_ms: int) -> None:
         step = expires_at_ms // self._step_ms
         digests = self._digests_by_step.get(step)
         if digests is None:
--- a/src/medlarfork/control/_claim_table.py
+++ b/src/medlarfork/control/_claim_table.py
@@ -1,4 +1,4 @@
-"""Keep claims: who may dispatch which not-repeatable request, and what came of it."""
+"""Table of claims: who may dispatch a non-repeatable request, and its outcome."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from medlarfork import claim, uuid7
 from medlarfork.control import _claim_quotas, _claim_rows
 
-_EXPIRED_PER_STEP = 1000
-"""Most claims dropped in one step, so that the work of a step is bounded."""
+_MAX_EXPIRED_PER_CALL = 1000
+"""Maximum claims removed in one call, so that its duration is bounded."""
 
-_STEPS = 1024
-"""Into how many steps of time retention is cut; claims past it are dropped one step late."""
+_EXPIRY_STEPS = 1024
+"""Number of time steps of the retention; an expired claim is removed up to one step late."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """Bound the claim table; must be equal on all replicas.
+    """Limits of the claim table; must be equal on all replicas.
 
     Attributes:
-        retention_ms: How long a claim is kept after its grant or its key's time, the later one.
-            A key that carries its time is refused once that is longer ago.
-        claims: Most claims kept; beyond them new ones are refused.
-        answer_bytes: Longest answer body kept for duplicates.
-        answers_bytes: Bytes of answer bodies kept in all; the oldest are dropped first.
-        key_ahead_ms: How far a key's time may lie ahead of the log's time.
-        abandoned: How many abandoned holders are remembered.
-        undated_retention_ms: The same as ``retention_ms`` for keys that carry no time. Nothing
-            shows the age of such a key: sent again later than this, it runs again.
-        accounts: For how many client accounts room is always kept; see ``_claim_quotas``.
-        answers: Most answers kept; the oldest are dropped first.
+        retention_ms: How long a claim is kept after its grant or its key's time, whichever is
+            later. A key that carries a time is refused once that is longer ago.
+        claims: Maximum claims; beyond it new ones are refused.
+        answer_bytes: Maximum size of an answer body that is kept for duplicates.
+        answers_bytes: Maximum total size of the kept answer bodies; the oldest are evicted first.
+        key_ahead_ms: How far a key's time may be ahead of the log's time.
+        abandoned: Maximum abandoned holders that are remembered.
+        undated_retention_ms: Like ``retention_ms``, for keys that carry no time. The age of such a
+            key is unknown: if it is sent again later than this, the request runs again.
+        accounts: Number of client accounts with reserved room; see ``_claim_quotas``.
+        answers: Maximum answers kept; the oldest are evicted first.
     """
 
     retention_ms: int = 3600 * 1000
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimEntry:
-    """Hold one claim of an older snapshot; ``answer`` None with ``finished``: it may have run."""
+    """A claim of an older snapshot; ``answer`` None with ``finished``: it may have run."""
 
     key: claim.ClaimKey
     holder: claim.Holder
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AbandonedHolder:
-    """Remember that a holder gave its claim back, so that its late request is not granted."""
+    """A holder that abandoned its claim, so that its late request is not granted."""
 
     key: claim.ClaimKey
     holder: claim.Holder
@@ -67,15 +67,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PackedClaims:
-    """Hold all claims of a snapshot.
+    """All claims of a snapshot.
 
     Attributes:
-        digests: The keys' digests in the order of their grant, one after the other.
-        rows: The packed rows in the same order.
-        accounts: The accounts in the order of the numbers that the rows hold.
-        holders: Who holds the running claims, by digest.
+        digests: The keys' digests in the order of their grant, concatenated.
+        rows: The packed rows in the same order, concatenated.
+        accounts: The accounts in the order of the numbers that the rows contain.
+        holders: Holders of the running claims, by digest.
         answers: The kept answers, by digest, oldest first.
-        refused_before_ms: Keys of before this time are refused for good.
+        refused_before_ms: Keys from before this time are refused permanently.
     """
 
     digests: bytes
@@ -88,13 +88,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimTableState:
-    """Hold the table for a snapshot.
+    """State of the table in a snapshot.
 
     Attributes:
-        entries: The claims; single entries in a snapshot of an older version. An older version
-            refuses packed ones, as it would otherwise start without any claim.
+        entries: The claims; separate entries in a snapshot of an older version. An older version
+            rejects packed ones, as it would otherwise start without any claim.
         answered: Keys of the entries whose answers are kept, oldest answer first.
-        abandoned: Holders that gave their claim back, oldest first.
+        abandoned: Holders that abandoned their claims, oldest first.
     """
 
     entries: tuple[ClaimEntry, ...] | PackedClaims = ()
@@ -103,17 +103,17 @@
 
 
 class ClaimTable:
-    """Decide claims; equal operations at equal log times lead to equal tables.
+    """Decides claims; equal operations at equal log times lead to equal tables.
 
     Every claim has a packed row. Its holder is kept only while it runs, and its answer within
-    bounds of their own.
+    separate limits.
     """
 
     def __init__(self, limits: ClaimLimits, state: ClaimTableState | None = None) -> None:
         """Start empty or from a snapshot."""
         state = state or ClaimTableState()
         self._limits = limits
-        self._rows = _claim_rows.ClaimRows(step_ms=max(1, limits.retention_ms // _STEPS))
+        self._rows = _claim_rows.ClaimRows(step_ms=max(1, limits.retention_ms // _EXPIRY_STEPS))
         self._holder_by_digest: dict[bytes, claim.Holder] = {}
         self._answer_by_digest: collections.OrderedDict[bytes, claim.StoredAnswer]
         self._answer_by_digest = collections.OrderedDict()
@@ -122,7 +122,7 @@
         self._abandoned = collections.OrderedDict.fromkeys(state.abandoned)
         packed = state.entries if isinstance(state.entries, PackedClaims) else None
         names = packed.accounts if packed else ()
-        self._shares = _claim_quotas.ClaimQuotas(
+        self._quotas = _claim_quotas.ClaimQuotas(
             claims=limits.claims, accounts=limits.accounts, names=names
         )
         if packed:
@@ -135,12 +135,12 @@
         return len(self._rows)
 
     def state(self) -> ClaimTableState:
-        """Return the table for a snapshot."""
+        """Return the state for a snapshot."""
         digests, rows = self._rows.pack()
         packed = PackedClaims(
             digests,
             rows,
-            self._shares.names,
+            self._quotas.names,
             tuple(self._holder_by_digest.items()),
             tuple(self._answer_by_digest.items()),
             self._refused_before_ms,
@@ -148,27 +148,27 @@
         return ClaimTableState(packed, abandoned=tuple(self._abandoned))
 
     def holder_of(self, key: claim.ClaimKey) -> claim.Holder | None:
-        """Return who holds the unfinished claim, if anyone does."""
-        return self._holder_by_digest.get(_claim_rows.digest_of(key))
+        """Return the holder of an unfinished claim, if there is one."""
+        return self._holder_by_digest.get(_claim_rows.key_digest(key))
 
-    def request(self, asked: claim.ClaimRequest, now_ms: int) -> claim.ClaimReply:
-        """Grant the claim or say what became of it."""
-        digest = _claim_rows.digest_of(asked.key)
-        row = self._live(digest, now_ms)
+    def request(self, request: claim.ClaimRequest, now_ms: int) -> claim.ClaimReply:
+        """Grant the claim or return its outcome so far."""
+        digest = _claim_rows.key_digest(request.key)
+        row = self._unexpired(digest, now_ms)
         answer = None
         if row is None:
-            verdict = self._verdict_on_new(digest, asked, now_ms)
-        elif row.body != _claim_rows.body_of(asked.body_sha256):
+            verdict = self._decide_new(digest, request, now_ms)
+        elif row.body != _claim_rows.body_digest(request.body_sha256):
             verdict = claim.Verdict.KEY_REUSED
         else:
-            verdict = self._verdict_on(digest, row.state, asked.holder)
+            verdict = self._decide_known(digest, row.state, request.holder)
             answer = self._answer_by_digest.get(digest)
-        return claim.ClaimReply(asked.key, asked.holder, verdict, answer)
+        return claim.ClaimReply(request.key, request.holder, verdict, answer)
 
     def finish(self, finished: claim.ClaimFinish, now_ms: int) -> None:
-        """Record the end of the holder's dispatch; without effect for anyone else."""
-        digest = _claim_rows.digest_of(finished.key)
-        self._live(digest, now_ms)
+        """Record the end of the holder's dispatch; ignored from anyone else."""
+        digest = _claim_rows.key_digest(finished.key)
+        self._unexpired(digest, now_ms)
         if self._holder_by_digest.get(digest) != finished.holder:
             return
         del self._holder_by_digest[digest]
@@ -177,56 +177,54 @@
             return
         self._rows.set_state(digest, _claim_rows.State.RAN)
         if finished.answer.kept and len(finished.answer.body) <= self._limits.answer_bytes:
-            self._keep_answer(digest, finished.answer)
+            self._store_answer(digest, finished.answer)
 
     def abandon(self, abandoned: claim.ClaimAbandon, now_ms: int) -> None:
-        """Drop the holder's own unfinished claim, and refuse its late request."""
-        digest = _claim_rows.digest_of(abandoned.key)
-        row = self._live(digest, now_ms)
+        """Remove the holder's own unfinished claim, and refuse its late request."""
+        digest = _claim_rows.key_digest(abandoned.key)
+        row = self._unexpired(digest, now_ms)
         if row is not None and self._holder_by_digest.get(digest) == abandoned.holder:
-            self._drop(digest, row)
+            self._remove(digest, row)
         self._abandoned[AbandonedHolder(abandoned.key, abandoned.holder)] = None
         while len(self._abandoned) > self._limits.abandoned:
             self._abandoned.popitem(last=False)
 
     def expire(self, now_ms: int) -> None:
-        """Drop claims past retention, a bounded number in one step."""
-        # A longer retention, set later, must not make keys fresh whose claims are gone.
-        refused_before_ms = self._oldest_fresh_ms(now_ms)
+        """Remove claims past retention, a bounded number in one call."""
+        # A retention that is lengthened later must not accept keys whose claims are gone.
+        refused_before_ms = self._oldest_accepted_ms(now_ms)
         self._refused_before_ms = max(self._refused_before_ms, refused_before_ms)
-        for digest, row in itertools.islice(self._rows.expired(now_ms), _EXPIRED_PER_STEP):
-            self._drop(digest, row)
+        for digest, row in itertools.islice(self._rows.expired(now_ms), _MAX_EXPIRED_PER_CALL):
+            self._remove(digest, row)
 
-    def _live(self, digest: bytes, now_ms: int) -> _claim_rows.ClaimRow | None:
+    def _unexpired(self, digest: bytes, now_ms: int) -> _claim_rows.ClaimRow | None:
         row = self._rows.get(digest)
         if row is not None and row.expires_at_ms <= now_ms:
-            self._drop(digest, row)
+            self._remove(digest, row)
             return None
         return row
 
-    def _verdict_on_new(
-        self, digest: bytes, asked: claim.ClaimRequest, now_ms: int
-    ) -> claim.Verdict:
-        if AbandonedHolder(asked.key, asked.holder) in self._abandoned:
+    def _decide_new(self, digest: bytes, request: claim.ClaimRequest, now_ms: int) -> claim.Verdict:
+        if AbandonedHolder(request.key, request.holder) in self._abandoned:
             return claim.Verdict.HOLDER_LOST
-        key_ms = uuid7.time_ms(asked.key.key)
-        if key_ms is not None and self._out_of_time(key_ms, now_ms):
+        key_ms = uuid7.time_ms(request.key.key)
+        if key_ms is not None and self._is_out_of_window(key_ms, now_ms):
             return claim.Verdict.KEY_EXPIRED
-        if not self._shares.may_add(asked.key.account):
+        if not self._quotas.can_add(request.key.account):
             return claim.Verdict.FULL
         # The entry must outlive the key: otherwise a key from a fast clock could run again.
         expires_at_ms = now_ms + self._limits.undated_retention_ms
         if key_ms is not None:
             expires_at_ms = max(now_ms, key_ms) + self._limits.retention_ms
-        self._add(digest, asked, expires_at_ms)
+        self._add(digest, request, expires_at_ms)
         return claim.Verdict.GRANTED
 
-    def _verdict_on(
-        self, digest: bytes, state: _claim_rows.State, asker: claim.Holder
+    def _decide_known(
+        self, digest: bytes, state: _claim_rows.State, requester: claim.Holder
     ) -> claim.Verdict:
         match state:
             case _claim_rows.State.RUNNING:
-                granted = self._holder_by_digest[digest] == asker
+                granted = self._holder_by_digest[digest] == requester
                 return claim.Verdict.GRANTED if granted else claim.Verdict.RUNNING
             case _claim_rows.State.MAY_HAVE_RUN:
                 return claim.Verdict.HOLDER_LOST
@@ -234,35 +232,35 @@
                 kept = digest in self._answer_by_digest
                 return claim.Verdict.DONE if kept else claim.Verdict.ALREADY_RAN
 
-    def _out_of_time(self, key_ms: int, now_ms: int) -> bool:
-        if key_ms < max(self._refused_before_ms, self._oldest_fresh_ms(now_ms)):
+    def _is_out_of_window(self, key_ms: int, now_ms: int) -> bool:
+        if key_ms < max(self._refused_before_ms, self._oldest_accepted_ms(now_ms)):
             return True
         return key_ms > now_ms + self._limits.key_ahead_ms
 
-    def _oldest_fresh_ms(self, now_ms: int) -> int:
+    def _oldest_accepted_ms(self, now_ms: int) -> int:
         return now_ms - self._limits.retention_ms + 1
 
-    def _add(self, digest: bytes, asked: claim.ClaimRequest, expires_at_ms: int) -> None:
-        account = self._shares.number_of(asked.key.account)
-        self._shares.add(account)
-        body = _claim_rows.body_of(asked.body_sha256)
+    def _add(self, digest: bytes, request: claim.ClaimRequest, expires_at_ms: int) -> None:
+        account = self._quotas.assign_number(request.key.account)
+        self._quotas.add(account)
+        body = _claim_rows.body_digest(request.body_sha256)
         running = _claim_rows.State.RUNNING
         self._rows.add(digest, _claim_rows.ClaimRow(expires_at_ms, account, running, body))
-        self._holder_by_digest[digest] = asked.holder
+        self._holder_by_digest[digest] = request.holder
 
-    def _drop(self, digest: bytes, row: _claim_rows.ClaimRow) -> None:
-        self._rows.drop(digest)
-        self._shares.remove(row.account)
+    def _remove(self, digest: bytes, row: _claim_rows.ClaimRow) -> None:
+        self._rows.remove(digest)
+        self._quotas.remove(row.account)
         self._holder_by_digest.pop(digest, None)
         answer = self._answer_by_digest.pop(digest, None)
         if answer is not None:
             self._answers_bytes -= len(answer.body)
 
-    def _keep_answer(self, digest: bytes, answer: claim.StoredAnswer) -> None:
+    def _store_answer(self, digest: bytes, answer: claim.StoredAnswer) -> None:
         self._answer_by_digest[digest] = answer
         self._answers_bytes += len(answer.body)
         limits = self._limits
-        # Empty answers take no bytes of a body, but memory all the same.
+        # Empty answers have no body bytes, but still take memory.
         while (
             self._answers_bytes > limits.answers_bytes
             or len(self._answer_by_digest) > limits.answers
@@ -272,20 +270,20 @@
 
     def _restore(self, packed: PackedClaims) -> None:
         for account, count in self._rows.restore(packed.digests, packed.rows).items():
-            self._shares.add(account, count)
+            self._quotas.add(account, count)
         self._holder_by_digest.update(packed.holders)
         self._refused_before_ms = packed.refused_before_ms
         for digest, answer in packed.answers:
-            self._keep_answer(digest, answer)
+            self._store_answer(digest, answer)
 
     def _restore_entries(self, state: ClaimTableState) -> None:
-        """Take over the claims of a snapshot that an older version wrote."""
+        """Restore the claims of a snapshot of an older version."""
         assert not isinstance(state.entries, PackedClaims)
         for entry in state.entries:
-            asked = claim.ClaimRequest(entry.key, entry.holder, entry.body_sha256)
-            self._add(_claim_rows.digest_of(entry.key), asked, entry.expires_at_ms)
+            request = claim.ClaimRequest(entry.key, entry.holder, entry.body_sha256)
+            self._add(_claim_rows.key_digest(entry.key), request, entry.expires_at_ms)
         entry_by_key = {entry.key: entry for entry in state.entries if entry.finished}
-        # The kept answers come in their own order, so that the oldest is dropped first.
+        # Answers are restored in their own order, so that the oldest is evicted first.
         in_order = dict.fromkeys((*state.answered, *entry_by_key))
         for key in in_order:
             entry = entry_by_key[key]
--- a/src/medlarfork/control/_control_log.py
+++ b/src/medlarfork/control/_control_log.py
@@ -1,4 +1,4 @@
-"""Join the replica's log to the replicated state: commands go in, applied replies come out."""
+"""Connects a replica's log to the replicated state: proposes commands and applies them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class LogReplica(Protocol):
-    """Keep the replicated log; ``replica.Replica`` is the real one."""
+    """Interface of the replicated log; implemented by ``replica.Replica``."""
 
     @property
     def status(self) -> replica.ReplicaStatus:
-        """Return what operators want to know."""
+        """Return the status for operators."""
         ...
 
     def handle(self, event: Any, now: float) -> tuple[Any, ...]:
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """Tell that a command was applied; ``proposal_id`` is set where it was proposed."""
+    """A command was applied; ``proposal_id`` is only set on the replica that proposed it."""
 
     proposal_id: str
     term: int
@@ -39,27 +39,27 @@
 
 
 class ControlLog:
-    """Propose commands, and apply what is committed to the state.
+    """Proposes commands, and applies committed ones to the state.
 
     Attributes:
-        role: What the replica last said it is.
-        term: The term in which it said so.
-        leader_id: Who leads as far as it knows; empty if unknown.
+        role: The last role that the replica reported.
+        term: The term of that role.
+        leader_id: The known leader; empty if unknown.
     """
 
     def __init__(
         self,
         replica_id: str,
-        part: LogReplica,
+        log_replica: LogReplica,
         state: replicated_state.ReplicatedState,
     ) -> None:
-        """Join a replica and a state, both of which start empty or as restored."""
+        """Connect a replica and a state, both empty or restored."""
         self.replica_id = replica_id
         self.state = state
         self.role = replica_types.Role.FOLLOWER
         self.term = 0
         self.leader_id = ""
-        self._replica = part
+        self._replica = log_replica
         self._events: collections.deque[Any] = collections.deque()
         self._proposals = 0
         self._clock = _log_clock.LogClock()
@@ -71,12 +71,12 @@
 
     @property
     def other_leader_id(self) -> str:
-        """Return who else leads; a leader that may not answer can't know, so it is empty then."""
+        """Return the other replica that leads; empty if this one is a leader, which can't know."""
         return "" if self.is_leader else self.leader_id
 
     @property
     def status(self) -> replica.ReplicaStatus:
-        """Return how the replica stands."""
+        """Return the replica's status."""
         return self._replica.status
 
     def holds_lease(self, now: float) -> bool:
@@ -84,39 +84,39 @@
         return self.is_leader and self._replica.holds_lease(now)
 
     def set_wall_clock(self, replica_id: str, unix_ms: int, now: float) -> None:
-        """Note the wall-clock time of a replica that belongs to a monotonic time here."""
+        """Record a replica's wall-clock time at a local monotonic time."""
         self._clock.set(replica_id, unix_ms, now)
 
-    def knows_time(self, now: float) -> bool:
-        """Return whether enough wall clocks are known for commands to carry the real time."""
+    def has_agreed_time(self, now: float) -> bool:
+        """Return whether enough wall clocks are known to agree on a time for commands."""
         return self._agreed_ms(now) is not None
 
     def unix_ms(self, now: float) -> int:
-        """Return the time for a command; never before the time of one already applied."""
+        """Return the time for a command, never earlier than that of an applied one."""
         return max(self._agreed_ms(now) or 0, self.state.log_time_ms)
 
-    def feed(self, event: Any) -> None:
-        """Let an event wait for ``run``."""
+    def enqueue(self, event: Any) -> None:
+        """Queue an event for ``run``."""
         self._events.append(event)
 
     def propose(self, command: replicated_state.Command, proposal_id: str = "") -> str:
-        """Let a command wait for ``run`` and return its proposal's id."""
+        """Queue a command for ``run`` and return the id of its proposal."""
         proposal_id = proposal_id or self.new_proposal_id()
         packed = replicated_state.COMMANDS.pack(command)
-        self.feed(replica_types.Propose(proposal_id, packed))
+        self.enqueue(replica_types.Propose(proposal_id, packed))
         return proposal_id
 
     def new_proposal_id(self) -> str:
-        """Return an id that this process has not used before."""
+        """Return an id that is unique in this process."""
         self._proposals += 1
         return f"{self.replica_id}-{self._proposals}"
 
     def run(self, now: float) -> Iterator[Any]:
-        """Feed the waiting events to the replica and return what is left to do, in order.
+        """Pass queued events to the replica and yield the remaining actions, in order.
 
-        Each event is fed only after the actions of the one before: otherwise a later record
-        could reach the journal before an earlier one. The result holds ``Applied``, the
-        replica's ``RoleChanged`` and ``ProposalRefused``, and actions for the outside.
+        Each event is passed on only after the actions of the previous one: otherwise a later record
+        could reach the journal before an earlier one. The result holds ``Applied``, the replica's
+        ``RoleChanged`` and ``ProposalRefused``, and actions for the caller to perform.
         """
         while self._events:
             for action in self._replica.handle(self._events.popleft(), now):
@@ -140,6 +140,6 @@
             case replica_types.RestoreSnapshot(_, state):
                 self.state.restore(state)
             case replica_types.TakeSnapshot(index):
-                self.feed(replica_types.SnapshotTaken(index, self.state.encode()))
+                self.enqueue(replica_types.SnapshotTaken(index, self.state.encode()))
             case _:
                 yield action
--- a/src/medlarfork/control/_control_metrics.py
+++ b/src/medlarfork/control/_control_metrics.py
@@ -1,4 +1,4 @@
-"""Render a control replica's metrics for Prometheus."""
+"""Prometheus metrics of a control replica."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class ControlMetrics:
-    """Keep the metrics of one control replica."""
+    """Metrics of one control replica."""
 
     def __init__(self, read_status: ReadStatus) -> None:
-        """Read all values through ``read_status``, only when they are asked for."""
+        """Read all values through ``read_status`` when the metrics are rendered."""
         self._read_status = read_status
         self._registry = prometheus_client.CollectorRegistry()
         self._provider: metrics.MeterProvider | None = None
 
     def start(self) -> None:
-        """Make the instruments."""
+        """Create the instruments."""
         reader = prometheus.PrometheusMetricReader(
             disable_target_info=True, scope_info_enabled=False, registry=self._registry
         )
@@ -52,7 +52,7 @@
             meter.create_observable_gauge(name, callbacks=[callback], description=description)
 
     def close(self) -> None:
-        """Drop the instruments."""
+        """Shut down the instruments."""
         if self._provider is not None:
             self._provider.shutdown()
             self._provider = None
--- a/src/medlarfork/control/_heartbeat_service.py
+++ b/src/medlarfork/control/_heartbeat_service.py
@@ -1,4 +1,4 @@
-"""Answer entry hosts' heartbeats on the leader, and keep their leases and the view."""
+"""Heartbeats of entry hosts on the leader: leases, view and configuration updates."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class HeartbeatService:
-    """Keep the members' leases for one leadership after the other.
+    """Manages the members' leases during each leadership of this replica.
 
     Attributes:
-        views: What changed between the views of this leadership.
+        views: Changes between the views of this leadership.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         log: _control_log.ControlLog,
         out_of_service: Callable[[], heartbeat.OutOfService] = heartbeat.OutOfService,
     ) -> None:
-        """Start as a replica that does not lead; ``out_of_service`` lists such upstreams."""
+        """Start as a follower; ``out_of_service`` returns the upstreams that are out of service."""
         self._log = log
         self._out_of_service = out_of_service
         self._deltas = _delta_cache.DeltaCache(log.state)
@@ -41,11 +41,11 @@
 
     @property
     def leases(self) -> _member_leases.MemberLeases | None:
-        """Return the members' leases; None if this replica does not lead."""
+        """Return the members' leases; None on a follower."""
         return self._leases
 
-    def begin(self, term: int, now: float) -> None:
-        """Begin a leadership; all that was committed before it has been applied."""
+    def start_term(self, term: int, now: float) -> None:
+        """Start a leadership, once everything committed before it has been applied."""
         members = self._log.state.member_by_id.values()
         self._leases = _member_leases.MemberLeases(term, members, now)
         self.views = _view_history.ViewHistory(self._leases.view)
@@ -53,12 +53,12 @@
         self._proposal_id = ""
         self._members_differ = False
 
-    def end(self) -> None:
+    def end_term(self) -> None:
         """End the leadership."""
         self._leases = None
 
     def expire(self, now: float) -> None:
-        """Expire members' leases, unless this side's own lapsed and heartbeats went unheard."""
+        """Expire members' leases; none while this leader's own lapses and heartbeats are lost."""
         if self._leases is None:
             return
         if not self._log.holds_lease(now):
@@ -69,8 +69,8 @@
             self._leases.extend(now)
         self._leases.expire(now)
 
-    def take(self, beat: heartbeat.Heartbeat, now: float) -> list[Any]:
-        """Renew the sender's lease and answer; the caller has checked that this replica leads."""
+    def handle_heartbeat(self, beat: heartbeat.Heartbeat, now: float) -> list[Any]:
+        """Renew the sender's lease and reply; the caller has checked that this replica leads."""
         assert self._leases is not None
         if not self._leases.renew(beat, now):
             return []
@@ -78,18 +78,18 @@
         actions.append(node.Send(beat.member.entry_id, self._reply(beat)))
         return actions
 
-    def keep(self, now: float) -> list[Any]:
-        """Publish a due view, and note joins and leaves in the log."""
+    def publish_changes(self, now: float) -> list[Any]:
+        """Publish a due view, and propose joins and leaves to the log."""
         if self._leases is None or not self._log.holds_lease(now):
             return []
         actions = self._publish(now)
         if self._members_differ and not self._proposal_id:
             self._members_differ = False
-            self._note_members(self._leases.view, now)
+            self._propose_members(self._leases.view, now)
         return actions
 
     def notices(self) -> list[Any]:
-        """Return a notice of the current revision and view to each member."""
+        """Return a notice of the current revision and view for each member."""
         if self._leases is None:
             return []
         revision = self._log.state.current.revision
@@ -98,31 +98,31 @@
         )
         return [node.Send(lease.member.entry_id, notice) for lease in self._leases.leases]
 
-    def applied(self, proposal_id: str) -> None:
-        """Take note that a proposal was applied."""
+    def on_applied(self, proposal_id: str) -> None:
+        """Handle an applied proposal."""
         if proposal_id == self._proposal_id:
             self._proposal_id = ""
 
-    def refused(self, proposal_id: str) -> None:
-        """Take note that a proposal was refused; what it held is proposed again."""
+    def on_refused(self, proposal_id: str) -> None:
+        """Handle a refused proposal; its content is proposed again."""
         if proposal_id == self._proposal_id:
             self._proposal_id = ""
             self._members_differ = True
 
-    def next_time(self) -> float:
-        """Return when ``keep`` has something to do; infinity if never."""
+    def next_due(self) -> float:
+        """Return when ``publish_changes`` is due; infinity if never."""
         if self._leases is None or self._lease_lapsed:
             return math.inf
-        return self._leases.next_time()
+        return self._leases.next_due()
 
     def _reply(self, beat: heartbeat.Heartbeat) -> heartbeat.HeartbeatReply:
         assert self._leases is not None
         view = self._leases.view
         current = self._log.state.current
-        whole = delta = None
+        full_copy = delta = None
         if beat.revision != current.revision:
             delta = self._deltas.since(beat.revision)
-            whole = current if delta is None else None
+            full_copy = current if delta is None else None
         view_is_old = beat.view_version < view.version
         view_delta = self.views.since(beat.view_version) if view_is_old else None
         out = self._out_of_service()
@@ -130,7 +130,7 @@
             number=beat.number,
             term=self._log.term,
             revision=current.revision,
-            whole=whole,
+            whole=full_copy,
             delta=delta,
             view=view if view_is_old and view_delta is None else None,
             incarnation=beat.member.incarnation,
@@ -143,9 +143,9 @@
         published = self._leases.publish(now)
         if published is None:
             return []
-        self.views.note(published)
+        self.views.record(published)
         if not published.joined and not published.left:
-            # Loads are not urgent: they go out with the answers to the next heartbeats.
+            # Loads are not urgent: they are sent with the replies to the next heartbeats.
             return []
         self._members_differ = True
         joined = tuple(item.entry_id for item in published.joined)
@@ -153,16 +153,16 @@
         version = published.view.version
         return [control_types.ViewPublished(version, joined, left), *self.notices()]
 
-    def _note_members(self, view: member.View, now: float) -> None:
-        """Propose how the view differs from the members noted in the log."""
-        noted_by_id = self._log.state.member_by_id
+    def _propose_members(self, view: member.View, now: float) -> None:
+        """Propose the differences between the view and the members in the log."""
+        logged_by_id = self._log.state.member_by_id
         joined = tuple(
             item
             for item in view.members
-            if _member_leases.differs(noted_by_id.get(item.entry_id), item)
+            if _member_leases.differs(logged_by_id.get(item.entry_id), item)
         )
         left = tuple(
-            item for item in noted_by_id.values() if item.entry_id not in view.member_by_id
+            item for item in logged_by_id.values() if item.entry_id not in view.member_by_id
         )
         if joined or left:
             command = replicated_state.MembersChanged(self._log.unix_ms(now), joined, left)
--- a/src/medlarfork/control/_operator_replies.py
+++ b/src/medlarfork/control/_operator_replies.py
@@ -1,4 +1,4 @@
-"""Answer operators' requests that only read, and turn refusals into replies."""
+"""Replies to operators: read requests, and refusals."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def configuration(
     state: replicated_state.ReplicatedState, revision: int | None
 ) -> operations.Reply:
-    """Return the configuration of a revision, or a refusal if it is not kept."""
+    """Return the configuration of a revision, or a refusal if it is no longer kept."""
     current = state.current
     found = current if revision is None else state.configuration_at(revision)
     if found is None or found.revision > current.revision:
@@ -25,12 +25,12 @@
 
 
 def members(leases: _member_leases.MemberLeases, current: int) -> operations.MembersReply:
-    """Return the entry hosts that hold a lease; ``current`` is control's own revision."""
+    """Return the entry hosts that hold a lease; ``current`` is the control plane's revision."""
     return operations.MembersReply(leases.view.version, member_statuses(leases), current)
 
 
 def member_statuses(leases: _member_leases.MemberLeases) -> tuple[operations.MemberStatus, ...]:
-    """Return each entry host that holds a lease with the revision it confirmed."""
+    """Return each entry host that holds a lease with its confirmed revision."""
     statuses = [
         operations.MemberStatus(lease.member, lease.revision, lease.heard)
         for lease in leases.leases
@@ -41,10 +41,10 @@
 def in_force(
     leases: _member_leases.MemberLeases, revision: int, current: int
 ) -> operations.InForceReply:
-    """Return where a revision is in force; ``current`` is control's own revision.
+    """Return where a revision is in force; ``current`` is the control plane's revision.
 
-    No entry host of this log can have a revision above the current one, so such a number counts
-    the changes of an earlier log and confirms none of this one.
+    No entry host of this log can have a revision above the current one. Such a number comes from an
+    earlier log and confirms no revision of this one.
     """
     confirming = range(revision, current + 1)
     confirmed = [lease for lease in leases.leases if lease.revision in confirming]
@@ -61,33 +61,33 @@
 
 
 def known_upstreams(
-    desk: order_manager.OrderManager | None, upstream_ids: tuple[str, ...]
+    engine_orders: order_manager.OrderManager | None, upstream_ids: tuple[str, ...]
 ) -> operations.Reply:
-    """Return which upstreams are reported, or a refusal if this replica hears no reports."""
-    if desk is None:
+    """Return which upstreams are reported, or a refusal if this replica receives no reports."""
+    if engine_orders is None:
         return no_sub_state("inventory")
-    known = desk.known_upstreams
+    known = engine_orders.known_upstreams
     return operations.KnownUpstreams(tuple(item for item in upstream_ids if item in known))
 
 
-def orders(desk: order_manager.OrderManager | None, now: float) -> operations.Reply:
-    """Return what engines are ordered, or a refusal if this deployment orders none."""
-    if desk is None:
+def orders(engine_orders: order_manager.OrderManager | None, now: float) -> operations.Reply:
+    """Return the state of engine orders, or a refusal if this deployment has none."""
+    if engine_orders is None:
         return no_sub_state("orders")
-    board = desk.board
+    board = engine_orders.board
     return operations.OrdersReply(
         revision=board.revision,
-        fence=desk.fence,
+        fence=engine_orders.fence,
         desired=tuple(board.declared_by_name.values()),
         in_progress=tuple(board.order_by_upstream.values()),
-        waiting=desk.waiting(now),
+        waiting=engine_orders.waiting(now),
         out_of_service=tuple(sorted(board.out_of_service)),
         history=board.history,
     )
 
 
 def no_sub_state(name: str) -> operations.Refused:
-    """Return the refusal of a name that no part of the state has."""
+    """Return the refusal of an unknown sub-state name."""
     return operations.Refused(
         errors.Code.NOT_FOUND, f"There is no {name!r} here.", "Correct the name."
     )
@@ -103,8 +103,8 @@
         case errors.Code.CHANGE_TOO_OLD:
             return operations.Refused(
                 answer.code,
-                "The change id is older than the ids that are remembered; it was not applied now.",
-                "Look in the history whether it was applied, else check the clock; use a new id.",
+                "The change id is older than all remembered ids; the change was not applied now.",
+                "Check in the history whether it was applied, else the clock; use a new id.",
                 revision=answer.revision,
             )
         case errors.Code.KEY_REUSED:
@@ -117,8 +117,8 @@
         case _:
             return operations.Refused(
                 answer.code,
-                "The change id is no lower-case UUID of version 7 from about now.",
-                "Set the clock of the operator's host and make a new UUIDv7 for the change.",
+                "The change id is not a lower-case UUIDv7 with a time close to now.",
+                "Set the clock of the operator's host and generate a new UUIDv7 for the change.",
                 revision=answer.revision,
             )
 
@@ -141,11 +141,11 @@
 
 
 def not_leader(leader_id: str, leader_address: str) -> operations.Refused:
-    """Return a refusal that names the leader, if it is known."""
+    """Return a refusal with the leader, if it is known."""
     remedy = "Ask the leader." if leader_id else "Ask again in a second, or another replica."
     return operations.Refused(
         errors.Code.NOT_LEADER,
-        "This replica does not lead.",
+        "This replica is not the leader.",
         remedy,
         leader_id=leader_id,
         leader_address=leader_address,
@@ -153,16 +153,16 @@
 
 
 def no_quorum() -> operations.Refused:
-    """Return the refusal of a leader that hears no majority of the replicas."""
+    """Return the refusal of a leader that reaches no majority of the replicas."""
     return operations.Refused(
         errors.Code.NO_QUORUM,
-        "This replica hears no majority of the control replicas; nothing was changed.",
-        "Bring replicas back, or ask another one in case this one is cut off.",
+        "This replica reaches no majority of the control replicas; nothing was changed.",
+        "Restore replicas, or ask another one in case this one is partitioned off.",
     )
 
 
 def uncertain() -> operations.Refused:
-    """Return the reply if leadership was lost before the request was decided."""
+    """Return the reply to a request whose outcome is unknown after a change of leadership."""
     return operations.Refused(
         errors.Code.UNCERTAIN,
         "Leadership changed before the request was decided; it may still take effect.",
@@ -171,16 +171,16 @@
 
 
 def overloaded() -> operations.Refused:
-    """Return the refusal if too many requests are in progress."""
+    """Return the refusal when too many requests are in progress."""
     return operations.Refused(
         errors.Code.OVERLOADED,
-        "Too many requests are in progress; this one was not run.",
+        "Too many requests are in progress; this one was not executed.",
         "Send it again in a few seconds.",
     )
 
 
 def invalid(findings: tuple[str, ...]) -> operations.Refused:
-    """Return the refusal of a configuration with mistakes."""
+    """Return the refusal of an invalid configuration."""
     return operations.Refused(
         errors.Code.CONFIGURATION_INVALID,
         f"The configuration has {len(findings)} mistake(s); it was not applied.",
--- a/src/medlarfork/control/_operator_service.py
+++ b/src/medlarfork/control/_operator_service.py
@@ -1,4 +1,4 @@
-"""Answer operators' requests on a control replica."""
+"""Operators' requests on a control replica."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 from medlarfork.replica import replica_types
 
 CALL_LIMIT = 1_000
-"""Most operators' requests in progress at once; more are refused."""
+"""Maximum operators' requests in progress; more are refused."""
 
 HISTORY_LIMIT = 1_000
-"""Most changes in one answer."""
+"""Maximum changes in one reply."""
 
 Check = Callable[[configuration.Configuration], tuple[str, ...]]
-"""Return what is wrong with a configuration; an empty tuple accepts it."""
+"""Returns the findings in a configuration; an empty tuple accepts it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Call:
-    """Hold a request that waits for the log."""
+    """A request that waits for the log."""
 
     call_id: str
     request: operations.Request
 
 
 class OperatorService:
-    """Answer reads at once and the rest when the log has decided it."""
+    """Answers reads at once and other requests when the log has decided them."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
         heartbeats: _heartbeat_service.HeartbeatService,
         check: Check,
         http_address_by_replica_id: Mapping[str, str],
-        desk: order_manager.OrderManager | None = None,
+        engine_orders: order_manager.OrderManager | None = None,
     ) -> None:
         """Start with nothing in progress."""
-        self._desk = desk
+        self._engine_orders = engine_orders
         self._log = log
         self._heartbeats = heartbeats
         self._check = check
@@ -61,26 +61,26 @@
         """Return whether any call waits for the log."""
         return bool(self._call_by_proposal)
 
-    def take(self, call_id: str, request: operations.Request, now: float) -> list[Any]:
-        """Answer a request, or propose what it asks for."""
+    def handle(self, call_id: str, request: operations.Request, now: float) -> list[Any]:
+        """Answer a request, or propose its command to the log."""
         reply = self._reply(call_id, request, now)
         return [] if reply is None else _answer(call_id, reply)
 
-    def applied(self, applied: _control_log.Applied) -> list[Any]:
-        """Return the answer that an applied proposal leads to, if a call waits for it."""
+    def on_applied(self, applied: _control_log.Applied) -> list[Any]:
+        """Return the answer to the call that waits for an applied proposal, if any."""
         call = self._call_by_proposal.pop(applied.proposal_id, None)
         return [] if call is None else _answer(call.call_id, _reply_to(call.request, applied.reply))
 
-    def refused(self, refused: replica_types.ProposalRefused) -> list[Any]:
-        """Return the answer that a refused proposal leads to, if a call waits for it."""
+    def on_refused(self, refused: replica_types.ProposalRefused) -> list[Any]:
+        """Return the answer to the call that waits for a refused proposal, if any."""
         call = self._call_by_proposal.pop(refused.proposal_id, None)
         if call is None:
             return []
         reply = _operator_replies.uncertain() if refused.uncertain else self._not_leader()
         return _answer(call.call_id, reply)
 
-    def end(self) -> list[Any]:
-        """End the leadership: nothing that waits is certain any more."""
+    def end_term(self) -> list[Any]:
+        """End the leadership: the outcome of all waiting calls is unknown."""
         calls = tuple(self._call_by_proposal.values())
         self._call_by_proposal.clear()
         uncertain = _operator_replies.uncertain()
@@ -89,7 +89,7 @@
     def _reply(
         self, call_id: str, request: operations.Request, now: float
     ) -> operations.Reply | None:
-        """Return the reply, or None if it waits for the log."""
+        """Return the reply, or None if the request waits for the log."""
         if isinstance(request, operations.GetStatus):
             return self.status(now)
         leases = self._heartbeats.leases
@@ -106,12 +106,12 @@
             case operations.GetMembers():
                 return _operator_replies.members(leases, self._log.state.current.revision)
             case operations.GetUpstreams(upstream_ids):
-                return _operator_replies.known_upstreams(self._desk, upstream_ids)
+                return _operator_replies.known_upstreams(self._engine_orders, upstream_ids)
             case operations.GetInForce(revision):
                 current = self._log.state.current.revision
                 return _operator_replies.in_force(leases, revision, current)
             case operations.GetOrders():
-                return _operator_replies.orders(self._desk, now)
+                return _operator_replies.orders(self._engine_orders, now)
             case _:
                 return self._propose(call_id, request, now)
 
@@ -125,15 +125,15 @@
             return refused
         at_ms = self._log.unix_ms(now)
         match request:
-            case operations.ApplyChange(change_id, base_revision, whole, operator):
+            case operations.ApplyChange(change_id, base_revision, proposed, operator):
                 command: replicated_state.Command = replicated_state.ConfigurationChange(
-                    change_id, base_revision, operator, whole, at_ms
+                    change_id, base_revision, operator, proposed, at_ms
                 )
-            case operations.AskSubState(name, asked):
-                command = replicated_state.SubStateCommand(at_ms, name, asked)
+            case operations.AskSubState(name, packed):
+                command = replicated_state.SubStateCommand(at_ms, name, packed)
             case operations.ChangeVoters(add, remove):
                 proposal_id = self._log.new_proposal_id()
-                self._log.feed(replica_types.ChangeVoters(proposal_id, add, remove))
+                self._log.enqueue(replica_types.ChangeVoters(proposal_id, add, remove))
                 self._call_by_proposal[proposal_id] = _Call(call_id, request)
                 return None
         self._call_by_proposal[self._log.propose(command)] = _Call(call_id, request)
@@ -141,11 +141,11 @@
 
     def _refusal(self, request: operations.Request) -> operations.Refused | None:
         match request:
-            case operations.ApplyChange(change_id, _, whole):
-                # A resent change gets its first answer, even if checks have become stricter.
-                if self._log.state.remembers(change_id):
+            case operations.ApplyChange(change_id, _, proposed):
+                # A resent change gets its first answer, even if the checks have become stricter.
+                if self._log.state.has_answer(change_id):
                     return None
-                findings = self._check(whole)
+                findings = self._check(proposed)
                 return _operator_replies.invalid(findings) if findings else None
             case operations.AskSubState(name) if self._log.state.sub_state(name) is None:
                 return _operator_replies.no_sub_state(name)
@@ -175,7 +175,7 @@
         return _operator_replies.not_leader(leader_id, address)
 
     def status(self, now: float) -> operations.StatusReply:
-        """Return how this replica stands."""
+        """Return the status of this replica."""
         status = self._log.status
         voters = status.voters or replica_types.Voters(())
         leases = self._heartbeats.leases
--- a/src/medlarfork/control/_order_sender.py
+++ b/src/medlarfork/control/_order_sender.py
@@ -1,4 +1,4 @@
-"""Carry out the order desk's actions that concern engines, each in a task of its own."""
+"""Execution of engine orders, each in a task of its own."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from medlarfork.orders import fenced_lease, order_client, order_types
 
 Post = Callable[[Any], Awaitable[None]]
-"""Hand an event to the node."""
+"""Posts an event to the node."""
 
 
 class OrderSender:
-    """Own the client and the tasks; there are at most as many tasks as engines."""
+    """Owns the HTTP client and the tasks; there are at most as many tasks as engines."""
 
     def __init__(
         self, lease: fenced_lease.FencedLease, post: Post, *, read_timeout_s: float
     ) -> None:
-        """Prepare to send under a lease; ``post`` gets what became of each action."""
+        """Prepare to send under a lease; ``post`` gets the result of each action."""
         self._http = http_client.HttpClient()
         self._client = order_client.OrderClient(
             self._http, lease=lease, read_timeout_s=read_timeout_s
@@ -33,18 +33,16 @@
         await self._http.start()
 
     async def close(self) -> None:
-        """Cut what is in progress; engines may still carry it out."""
+        """Cancel what is in progress; engines may still execute it."""
         for task in tuple(self._tasks):
             await task.cancel()
         await self._http.close()
 
     async def send(self, action: order_types.OrderEngine | order_types.ReadEngineState) -> None:
-        """Begin to carry out an action."""
-        self._tasks.add(await curio.spawn(self._carry_out, action, daemon=True))
+        """Start to execute an action."""
+        self._tasks.add(await curio.spawn(self._execute, action, daemon=True))
 
-    async def _carry_out(
-        self, action: order_types.OrderEngine | order_types.ReadEngineState
-    ) -> None:
+    async def _execute(self, action: order_types.OrderEngine | order_types.ReadEngineState) -> None:
         try:
             match action:
                 case order_types.OrderEngine():
--- a/src/medlarfork/control/_view_history.py
+++ b/src/medlarfork/control/_view_history.py
@@ -1,4 +1,4 @@
-"""Remember on the leader what changed between views, to tell entry hosts only that."""
+"""History of views on the leader, from which deltas for entry hosts are computed."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from medlarfork.control import _member_leases
 
 MAX_CHANGES = 256
-"""Past versions that a delta can start from; a host that holds an older one gets the whole view.
+"""Maximum past versions that a delta can start from; an older one requires the full view.
 
-Views are at least 0.1 s apart, so this covers several lost heartbeats in the busiest times.
+Views are at least 0.1 s apart, so this covers several lost heartbeats under the highest load.
 """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Change:
-    """Hold which entry hosts differ between a version and the next one."""
+    """Entry hosts that differ between a version and the next one."""
 
     base_version: tuple[int, int]
     entry_ids: frozenset[str]
-    moved_ids: frozenset[str]
+    load_changed_ids: frozenset[str]
 
 
 class ViewHistory:
-    """Make the delta from each past version once; most entry hosts ask for the same one."""
+    """Computes the delta from each past version once; most entry hosts need the same one."""
 
     def __init__(self, view: member.View) -> None:
         """Start with the first view of a leadership."""
@@ -33,16 +33,16 @@
         self._changes: collections.deque[_Change] = collections.deque(maxlen=MAX_CHANGES)
         self._delta_by_base: dict[tuple[int, int], heartbeat.ViewDelta | None] = {}
 
-    def note(self, published: _member_leases.Publication) -> None:
-        """Take the next view."""
+    def record(self, published: _member_leases.Publication) -> None:
+        """Record the next view."""
         entry_ids = frozenset(item.entry_id for item in (*published.joined, *published.left))
-        moved_ids = frozenset(published.moved_ids)
-        self._changes.append(_Change(self._view.version, entry_ids, moved_ids))
+        load_changed_ids = frozenset(published.load_changed_ids)
+        self._changes.append(_Change(self._view.version, entry_ids, load_changed_ids))
         self._view = published.view
         self._delta_by_base.clear()
 
     def since(self, base_version: tuple[int, int]) -> heartbeat.ViewDelta | None:
-        """Return the delta from a version to the newest; None if the whole is to be sent."""
+        """Return the delta from a version to the newest; None to send the full view."""
         if base_version not in self._delta_by_base:
             if not any(change.base_version == base_version for change in self._changes):
                 return None
@@ -51,22 +51,22 @@
 
     def _make(self, base_version: tuple[int, int]) -> heartbeat.ViewDelta | None:
         entry_ids: set[str] = set()
-        moved_ids: set[str] = set()
+        load_changed_ids: set[str] = set()
         for change in reversed(self._changes):
             entry_ids |= change.entry_ids
-            moved_ids |= change.moved_ids
+            load_changed_ids |= change.load_changed_ids
             if change.base_version == base_version:
                 break
         by_id = self._view.member_by_id
         changed = tuple(by_id[entry_id] for entry_id in sorted(entry_ids & by_id.keys()))
         if len(changed) >= len(by_id):
             return None
-        moved_ids = (moved_ids & by_id.keys()) - entry_ids
+        load_changed_ids = (load_changed_ids & by_id.keys()) - entry_ids
         return heartbeat.ViewDelta(
             base_version,
             self._view.version,
             changed,
             tuple(sorted(entry_ids - by_id.keys())),
-            {entry_id: by_id[entry_id].load for entry_id in sorted(moved_ids)},
+            {entry_id: by_id[entry_id].load for entry_id in sorted(load_changed_ids)},
             len(by_id),
         )
--- a/src/medlarfork/control/control.py
+++ b/src/medlarfork/control/control.py
@@ -1,8 +1,8 @@
-"""Run one control replica as a node: the log, the state it leads to, and the leader's duties.
+"""State machine of one control replica: replicated log, its state, and the leader's services.
 
-The leader answers entry hosts and operators; every other replica points to it. A leader answers
-only while it holds its lease and after it has applied all that was committed before its term, so
-nothing it says is older than what an earlier leader acknowledged.
+The leader answers entry hosts and operators; other replicas redirect to it. A leader answers only
+while it holds its lease and after it has applied everything committed before its term, so no reply
+is older than what an earlier leader acknowledged.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from medlarfork.replica import replica_types
 
 TRANSFER_RETRY_S = 0.5
-"""How long a stopping leader waits before it tries again to hand leadership over, in seconds."""
+"""Interval at which a stopping leader retries to hand over leadership, in seconds."""
 
-STOP_LIMIT_S = 10.0
-"""How long a stop may wait for leadership and calls, in seconds."""
+STOP_TIMEOUT_S = 10.0
+"""Maximum wait of a graceful stop for the handover and for calls in progress, in seconds."""
 
 
 class ControlNode:
-    """Turn the events of one control replica into actions."""
+    """Turns the events of one control replica into actions."""
 
     def __init__(
         self,
@@ -43,32 +43,37 @@
         state: replicated_state.ReplicatedState,
         check: _operator_service.Check,
         http_address_by_replica_id: Mapping[str, str],
-        desk: order_manager.OrderManager | None = None,
+        engine_orders: order_manager.OrderManager | None = None,
     ) -> None:
-        """Wire the parts together.
+        """Create the components.
 
         Args:
-            check: Returns what is wrong with a configuration; an empty tuple accepts it.
-            http_address_by_replica_id: All replicas, this one included, with the addresses that
-                operators reach them at. Messages of the log are taken only from these.
-            desk: Orders engines while this replica leads; None to order none.
+            check: Returns the findings in a configuration; an empty tuple accepts it.
+            http_address_by_replica_id: Addresses for operators of all replicas, this one included.
+                Messages of the log are accepted only from these replicas.
+            engine_orders: Orders engines while this replica leads; None if the deployment has no
+                engine orders.
         """
         self._log = _control_log.ControlLog(replica_id, replica, state)
-        self._desk = desk
-        out_of_service = heartbeat.OutOfService if desk is None else lambda: desk.out_of_service
+        self._engine_orders = engine_orders
+        out_of_service = (
+            heartbeat.OutOfService
+            if engine_orders is None
+            else lambda: engine_orders.out_of_service
+        )
         self._heartbeats = _heartbeat_service.HeartbeatService(self._log, out_of_service)
         self._claims = _claim_service.ClaimService(self._log, self._heartbeats)
         self._operators = _operator_service.OperatorService(
-            self._log, self._heartbeats, check, http_address_by_replica_id, desk
+            self._log, self._heartbeats, check, http_address_by_replica_id, engine_orders
         )
         self._replica_ids = frozenset(http_address_by_replica_id)
         self._leads = False
         self._ready_proposal = ""
-        self._noted_revision = state.current.revision
-        self._noted_out_of_service = 0
+        self._announced_revision = state.current.revision
+        self._announced_out_of_service = 0
         self._wake_at = math.inf
-        self._stop_limit_at = math.inf
-        self._transfer_at = math.inf
+        self._stop_deadline = math.inf
+        self._transfer_due = math.inf
         self._stopped = False
         self._actions: list[Any] = []
 
@@ -76,55 +81,55 @@
         """Handle an event at a monotonic time in seconds and return the actions, in order."""
         self._actions = []
         self._heartbeats.expire(now)
-        self._take(event, now)
+        self._handle_event(event, now)
         if self._leads and self._heartbeats.leases is None and not self._ready_proposal:
             self._propose_marker(now)
         self._run_log(now)
-        self._actions += self._heartbeats.keep(now)
+        self._actions += self._heartbeats.publish_changes(now)
         self._run_log(now)
         while self._claims.propose(now):
             self._run_log(now)
-        self._forget_lost_entries(now)
+        self._report_lost_entries(now)
         self._run_log(now)
-        self._go_on_stopping(now)
+        self._continue_stopping(now)
         self._arm_wake(now)
         return tuple(self._actions)
 
     def status(self, now: float) -> operations.StatusReply:
-        """Return how this replica stands."""
+        """Return the status of this replica."""
         return self._operators.status(now)
 
-    def _take(self, event: Any, now: float) -> None:
+    def _handle_event(self, event: Any, now: float) -> None:
         match event:
             case node.MessageReceived(sender, message):
-                self._take_message(sender, message, now)
+                self._handle_message(sender, message, now)
             case control_types.OperatorRequested(call_id, request):
-                self._actions += self._operators.take(call_id, request, now)
+                self._actions += self._operators.handle(call_id, request, now)
             case control_types.WallClock(unix_ms):
-                self._tell_clock(unix_ms, now)
+                self._broadcast_clock(unix_ms, now)
             case order_types.OrderDone() | order_types.EngineStateRead():
-                self._tell_desk(event, now)
+                self._notify_engine_orders(event, now)
             case node.TimeDue():
-                self._tell_desk(event, now)
-                self._log.feed(event)
+                self._notify_engine_orders(event, now)
+                self._log.enqueue(event)
             case control_types.StopRequested():
-                # A lease that is given up need not be waited out by the next leader.
-                self._tell_desk(lease_types.Stopping(), now)
-                self._stop_limit_at = min(self._stop_limit_at, now + STOP_LIMIT_S)
-                self._transfer_at = now
+                # After a release the next leader need not wait for the lease to expire.
+                self._notify_engine_orders(lease_types.Stopping(), now)
+                self._stop_deadline = min(self._stop_deadline, now + STOP_TIMEOUT_S)
+                self._transfer_due = now
             case _:
-                self._log.feed(event)
+                self._log.enqueue(event)
 
-    def _take_message(self, sender: str, message: Any, now: float) -> None:
+    def _handle_message(self, sender: str, message: Any, now: float) -> None:
         match message:
             case heartbeat.Heartbeat() if sender == message.member.entry_id:
-                self._take_heartbeat(message, now)
+                self._handle_heartbeat(message, now)
             case claim.ClaimRequest() | claim.ClaimFinish() | claim.ClaimAbandon() if (
                 sender == message.holder.entry_id
             ):
-                self._take_claim(sender, message, now)
+                self._handle_claim(sender, message, now)
             case inventory.InventoryReport(entry_id) if sender == entry_id:
-                self._tell_desk(message, now)
+                self._notify_engine_orders(message, now)
             case heartbeat.Heartbeat() | claim.ClaimRequest() | inventory.InventoryReport():
                 self._reject(sender, message)
             case claim.ClaimFinish() | claim.ClaimAbandon():
@@ -132,28 +137,28 @@
             case _log_clock.ClockReading(unix_ms) if sender in self._replica_ids:
                 self._log.set_wall_clock(sender, unix_ms, now)
             case _ if sender in self._replica_ids:
-                self._log.feed(node.MessageReceived(sender, message))
+                self._log.enqueue(node.MessageReceived(sender, message))
             case _:
                 self._reject(sender, message)
 
-    def _take_heartbeat(self, beat: heartbeat.Heartbeat, now: float) -> None:
+    def _handle_heartbeat(self, beat: heartbeat.Heartbeat, now: float) -> None:
         if self._heartbeats.leases is None or not self._log.holds_lease(now):
             self._send_not_leader(beat.member.entry_id)
             return
-        self._actions += self._heartbeats.take(beat, now)
-        self._tell_desk(
+        self._actions += self._heartbeats.handle_heartbeat(beat, now)
+        self._notify_engine_orders(
             order_manager.EntryHeartbeat(beat.member.entry_id, beat.inventory_digest), now
         )
 
-    def _take_claim(self, sender: str, message: _claim_service.Message, now: float) -> None:
+    def _handle_claim(self, sender: str, message: _claim_service.Message, now: float) -> None:
         if self._heartbeats.leases is None or self._is_stopping:
             self._send_not_leader(sender)
         elif not self._log.holds_lease(now):
             self._actions += self._claims.refuse_without_quorum(sender, message)
         else:
-            self._actions += self._claims.take(sender, message)
+            self._actions += self._claims.submit(sender, message)
 
-    def _tell_clock(self, unix_ms: int, now: float) -> None:
+    def _broadcast_clock(self, unix_ms: int, now: float) -> None:
         own_id = self._log.replica_id
         self._log.set_wall_clock(own_id, unix_ms, now)
         reading = _log_clock.ClockReading(unix_ms)
@@ -172,42 +177,42 @@
         for action in self._log.run(now):
             match action:
                 case _control_log.Applied():
-                    self._take_applied(action, now)
+                    self._on_applied(action, now)
                 case replica_types.RoleChanged():
                     self._change_role(action, now)
                 case replica_types.ProposalRefused(proposal_id):
-                    self._note_refusal(proposal_id)
-                    self._actions += self._operators.refused(action)
-                    self._actions += self._claims.refused(proposal_id)
+                    self._on_refused(proposal_id)
+                    self._actions += self._operators.on_refused(action)
+                    self._actions += self._claims.on_refused(proposal_id)
                 case _:
                     self._actions.append(action)
 
-    def _note_refusal(self, proposal_id: str) -> None:
-        self._heartbeats.refused(proposal_id)
+    def _on_refused(self, proposal_id: str) -> None:
+        self._heartbeats.on_refused(proposal_id)
         if proposal_id == self._ready_proposal:
             self._ready_proposal = ""
 
-    def _take_applied(self, applied: _control_log.Applied, now: float) -> None:
-        self._note_revision()
-        self._note_sub_state(applied, now)
+    def _on_applied(self, applied: _control_log.Applied, now: float) -> None:
+        self._announce_revision()
+        self._on_sub_state_reply(applied, now)
         if not applied.proposal_id or not self._leads:
             return
         if applied.proposal_id == self._ready_proposal:
             self._ready_proposal = ""
-            self._heartbeats.begin(applied.term, now)
+            self._heartbeats.start_term(applied.term, now)
             self._actions.append(control_types.LeaderReady(applied.term))
-            # Entry hosts may still ask the old leader, which may never answer again.
+            # Entry hosts may still send to the old leader, which may never answer again.
             self._actions += self._heartbeats.notices()
-            self._tell_desk(lease_types.LeadershipWon(), now)
-        self._heartbeats.applied(applied.proposal_id)
-        self._actions += self._operators.applied(applied)
-        self._actions += self._claims.applied(applied, now)
+            self._notify_engine_orders(lease_types.LeadershipWon(), now)
+        self._heartbeats.on_applied(applied.proposal_id)
+        self._actions += self._operators.on_applied(applied)
+        self._actions += self._claims.on_applied(applied, now)
 
-    def _note_revision(self) -> None:
+    def _announce_revision(self) -> None:
         revision = self._log.state.current.revision
-        if revision == self._noted_revision:
+        if revision == self._announced_revision:
             return
-        self._noted_revision = revision
+        self._announced_revision = revision
         if not self._leads:
             return
         (record,) = self._log.state.history(1)
@@ -223,17 +228,17 @@
             self._propose_marker(now)
         if self._leads and not leads:
             self._ready_proposal = ""
-            self._turn_members_away()
-            self._heartbeats.end()
-            self._tell_desk(lease_types.LeadershipLost(), now)
-            self._actions += self._operators.end()
-            self._actions += self._claims.end()
+            self._redirect_members()
+            self._heartbeats.end_term()
+            self._notify_engine_orders(lease_types.LeadershipLost(), now)
+            self._actions += self._operators.end_term()
+            self._actions += self._claims.end_term()
         self._leads = leads
 
-    def _tell_desk(self, event: Any, now: float) -> None:
-        if self._desk is None:
+    def _notify_engine_orders(self, event: Any, now: float) -> None:
+        if self._engine_orders is None:
             return
-        for action in self._desk.handle(event, now):
+        for action in self._engine_orders.handle(event, now):
             match action:
                 case order_manager.ProposeToSubState(name, packed):
                     at_ms = self._log.unix_ms(now)
@@ -241,58 +246,58 @@
                 case _:
                     self._actions.append(action)
 
-    def _note_sub_state(self, applied: _control_log.Applied, now: float) -> None:
-        """Tell the desk of a sub-state's command; only those are answered by bytes."""
-        if self._desk is None or not self._leads or not isinstance(applied.reply, bytes):
+    def _on_sub_state_reply(self, applied: _control_log.Applied, now: float) -> None:
+        """Forward a sub-state's reply, the only kind that is bytes, to the engine orders."""
+        if self._engine_orders is None or not self._leads or not isinstance(applied.reply, bytes):
             return
         command = replicated_state.COMMANDS.unpack(applied.command)
-        told = order_manager.CommandApplied(command.name, command.command, applied.reply)
-        self._tell_desk(told, now)
-        version = self._desk.out_of_service.version
-        if version != self._noted_out_of_service:
-            self._noted_out_of_service = version
+        reply = order_manager.CommandApplied(command.name, command.command, applied.reply)
+        self._notify_engine_orders(reply, now)
+        version = self._engine_orders.out_of_service.version
+        if version != self._announced_out_of_service:
+            self._announced_out_of_service = version
             self._actions += self._heartbeats.notices()
 
-    def _forget_lost_entries(self, now: float) -> None:
+    def _report_lost_entries(self, now: float) -> None:
         for action in tuple(self._actions):
             if isinstance(action, control_types.ViewPublished):
                 for entry_id in action.left:
-                    self._tell_desk(order_manager.EntryLost(entry_id), now)
+                    self._notify_engine_orders(order_manager.EntryLost(entry_id), now)
 
-    def _turn_members_away(self) -> None:
-        """Tell entry hosts to ask another replica, since this one may end before they ask it."""
+    def _redirect_members(self) -> None:
+        """Redirect entry hosts, since this replica may exit before they ask it."""
         leases = self._heartbeats.leases
         for lease in () if leases is None else leases.leases:
             self._send_not_leader(lease.member.entry_id)
 
     def _propose_marker(self, now: float) -> None:
-        """Propose what proves, once applied, that all earlier entries have been applied."""
-        # With the log's old time, ids and keys made now would be refused as made too far ahead.
-        if not self._log.knows_time(now):
+        """Propose a marker; once it is applied, so are all earlier entries."""
+        # With the log's old time, new ids and keys would be refused as too far ahead.
+        if not self._log.has_agreed_time(now):
             return
         marker = replicated_state.MembersChanged(self._log.unix_ms(now), (), ())
         self._ready_proposal = self._log.propose(marker)
 
-    def _go_on_stopping(self, now: float) -> None:
+    def _continue_stopping(self, now: float) -> None:
         if self._stopped or not self._is_stopping:
             return
-        if self._log.is_leader and self._has_others() and now < self._stop_limit_at:
-            if now >= self._transfer_at:
-                self._transfer_at = now + TRANSFER_RETRY_S
-                self._log.feed(replica_types.TransferLeadership())
+        if self._log.is_leader and self._has_others() and now < self._stop_deadline:
+            if now >= self._transfer_due:
+                self._transfer_due = now + TRANSFER_RETRY_S
+                self._log.enqueue(replica_types.TransferLeadership())
                 self._run_log(now)
             return
         in_progress = self._operators.in_progress or self._claims.in_progress
-        if in_progress and now < self._stop_limit_at:
+        if in_progress and now < self._stop_deadline:
             return
-        self._actions += self._operators.end()
-        self._actions += self._claims.end()
+        self._actions += self._operators.end_term()
+        self._actions += self._claims.end_term()
         self._actions.append(control_types.Stopped())
         self._stopped = True
 
     @property
     def _is_stopping(self) -> bool:
-        return self._stop_limit_at < math.inf
+        return self._stop_deadline < math.inf
 
     def _has_others(self) -> bool:
         voters = self._log.status.voters
@@ -301,11 +306,11 @@
     def _arm_wake(self, now: float) -> None:
         if self._wake_at <= now:
             self._wake_at = math.inf
-        wanted = self._heartbeats.next_time()
-        if self._desk is not None:
-            wanted = min(wanted, self._desk.wake_at)
+        wake_at = self._heartbeats.next_due()
+        if self._engine_orders is not None:
+            wake_at = min(wake_at, self._engine_orders.wake_at)
         if not self._stopped:
-            wanted = min(wanted, self._stop_limit_at, self._transfer_at)
-        if wanted < self._wake_at:
-            self._wake_at = wanted
-            self._actions.append(node.Wake(wanted))
+            wake_at = min(wake_at, self._stop_deadline, self._transfer_due)
+        if wake_at < self._wake_at:
+            self._wake_at = wake_at
+            self._actions.append(node.Wake(wake_at))
--- a/src/medlarfork/control/control_program.py
+++ b/src/medlarfork/control/control_program.py
@@ -1,4 +1,4 @@
-"""Run a control replica: wire its node to the disk, other processes and operators."""
+"""Process of a control replica: connects its node to disk, links and operators' HTTP."""
 
 from __future__ import annotations
 
@@ -31,51 +31,53 @@
 _log = logging.getLogger(__name__)
 
 _CLOCK_PERIOD_S = 1.0
-"""Time between two readings of the wall clock, in seconds."""
+"""Interval at which the wall clock is read, in seconds."""
 
-_ANSWER_LIMIT_S = 20.0
+_ANSWER_TIMEOUT_S = 20.0
 """How long an operator's request may wait for the log, in seconds."""
 
-_CUT_WITHIN_S = 2.0
-"""How long connections may take to close at the end, in seconds."""
+_CLOSE_TIMEOUT_S = 2.0
+"""Maximum time for connections to finish at shutdown, in seconds."""
 
 _LINK_LINGER_S = 0.05
-"""How long the last messages may take to leave the process, in seconds."""
+"""Time for the last messages to leave the process at shutdown, in seconds."""
 
 _NS_PER_MS = 1_000_000
 """Nanoseconds in a millisecond."""
 
 
 class ControlProgram:
-    """Own the parts of one control replica's process."""
+    """Owns the components of one control replica's process."""
 
-    def __init__(self, given: control_settings.ControlSettings) -> None:
-        """Prepare the parts; nothing is opened before ``start``."""
-        control_settings.check(given)
-        own = given.own_address
+    def __init__(self, settings: control_settings.ControlSettings) -> None:
+        """Create the components; nothing is opened before ``start``."""
+        control_settings.check(settings)
+        own = settings.own_address
         host, port = _host_and_port(own.http_address)
-        self._given = given
-        self._journal = journal.Journal(given.data_folder)
+        self._settings = settings
+        self._journal = journal.Journal(settings.data_folder)
         self._writer = _disk_writer.DiskWriter(
             self._journal, on_synced=self._post, on_failed=self._fail
         )
         self._metrics = _control_metrics.ControlMetrics(self._status)
         self._link = link.Link(
-            identity=given.replica_id,
+            identity=settings.replica_id,
             codec=wire.make_codec(),
             bind=own.link_address,
-            keys=keys.load_if_named(given.keys_folder, given.replica_id),
+            keys=keys.load_if_named(settings.keys_folder, settings.replica_id),
         )
         api = operations_api.OperationsApi(
-            self._ask,
-            operators=given.operators,
-            allow_anyone=given.allow_anyone,
+            self._execute,
+            operators=settings.operators,
+            allow_anyone=settings.allow_anyone,
             render_metrics=self._metrics.render,
         )
         self._server = http_server.HttpServer(api.serve, host=host, port=port)
-        self._desk = _make_desk(given)
-        self._orders = _order_sender.OrderSender(
-            self._desk.lease, self._post, read_timeout_s=_planner_settings(given).read_timeout_s
+        self._engine_orders = _make_engine_orders(settings)
+        self._order_sender = _order_sender.OrderSender(
+            self._engine_orders.lease,
+            self._post,
+            read_timeout_s=_planner_settings(settings).read_timeout_s,
         )
         self._replies_by_call: dict[str, curio.Queue] = {}
         self._call_numbers = itertools.count()
@@ -92,18 +94,18 @@
         """Read the disk, open the link and the HTTP server, and start the node.
 
         Raises:
-            errors.MedlarError: The disk is damaged or in use, or an address can't be had.
+            errors.MedlarError: The disk is damaged or in use, or an address is not available.
         """
         restored = await curio.run_in_thread(self._journal.start)
-        self._node = _make_node(self._given, restored, self._desk)
+        self._node = _make_node(self._settings, restored, self._engine_orders)
         self._runner = runner.Runner(self._node, perform=self._perform)
         await self._link.start()
-        for address in self._given.replicas:
-            if address.replica_id != self._given.replica_id:
+        for address in self._settings.replicas:
+            if address.replica_id != self._settings.replica_id:
                 self._link.connect(address.replica_id, address.link_address)
         self._metrics.start()
         await self._writer.start()
-        await self._orders.start()
+        await self._order_sender.start()
         await self._post(control_types.WallClock(_unix_ms()))
         await self._runner.start()
         self._tasks = [
@@ -120,15 +122,15 @@
         await self._stopped.wait()
 
     async def wait_failed(self) -> None:
-        """Return if the disk has failed; the process must end then."""
+        """Return once the disk has failed; the process must end then."""
         await self._stopped.wait()
 
     async def close(self) -> None:
         """Close everything."""
-        await self._server.close(within_s=_CUT_WITHIN_S)
+        await self._server.close(within_s=_CLOSE_TIMEOUT_S)
         for task in self._tasks:
             await task.cancel()
-        await self._orders.close()
+        await self._order_sender.close()
         await self._runner.close()
         await self._writer.close()
         await curio.sleep(_LINK_LINGER_S)
@@ -139,7 +141,7 @@
 
     @property
     def failure(self) -> Exception | None:
-        """Return why the disk could not be written, if that happened."""
+        """Return the disk error, if one occurred."""
         return self._failure
 
     async def _post(self, event: Any) -> None:
@@ -153,7 +155,7 @@
                 await self._writer.write(action)
             case order_types.OrderEngine() | order_types.ReadEngineState():
                 _log_action(action)
-                await self._orders.send(action)
+                await self._order_sender.send(action)
             case control_types.OperatorAnswered(call_id, reply):
                 replies = self._replies_by_call.get(call_id)
                 if replies is not None:
@@ -164,7 +166,7 @@
                 _log_action(action)
 
     async def _fail(self, error: Exception) -> None:
-        """End the process: what is on disk is no longer known."""
+        """End the process: the content of the disk is no longer certain."""
         logs.event(_log, "disk_failed", severity=logging.CRITICAL, cause=error)
         self._failure = error
         await self._stopped.set()
@@ -178,39 +180,39 @@
             await curio.sleep(_CLOCK_PERIOD_S)
             await self._post(control_types.WallClock(_unix_ms()))
 
-    async def _ask(self, request: operations.Request) -> operations.Reply:
+    async def _execute(self, request: operations.Request) -> operations.Reply:
         call_id = str(next(self._call_numbers))
         replies = self._replies_by_call[call_id] = curio.Queue()
         try:
             await self._post(control_types.OperatorRequested(call_id, request))
-            reply = await curio.ignore_after(_ANSWER_LIMIT_S, replies.get)
+            reply = await curio.ignore_after(_ANSWER_TIMEOUT_S, replies.get)
         finally:
             del self._replies_by_call[call_id]
-        return _late() if reply is None else reply
+        return _timed_out() if reply is None else reply
 
     def _status(self) -> operations.StatusReply:
         return self._node.status(time.monotonic())
 
 
 def _planner_settings(
-    given: control_settings.ControlSettings,
+    settings: control_settings.ControlSettings,
 ) -> planner_settings.PlannerSettings:
     store = weight_load_scheduler.WeightStoreSettings(
-        given.weight_bytes_per_second, given.weight_lanes
+        settings.weight_bytes_per_second, settings.weight_lanes
     )
     return planner_settings.PlannerSettings(
         store,
-        max_order_s=given.order_limit_s,
-        answer_timeout_s=given.order_answer_s,
-        drain_s=given.drain_s,
+        max_order_s=settings.order_limit_s,
+        answer_timeout_s=settings.order_answer_s,
+        drain_s=settings.drain_s,
     )
 
 
-def _make_desk(given: control_settings.ControlSettings) -> order_manager.OrderManager:
-    # Each start is another holder: what an earlier process ordered may still be under way.
-    holder = f"{given.replica_id}-{secrets.token_hex(8)}"
+def _make_engine_orders(settings: control_settings.ControlSettings) -> order_manager.OrderManager:
+    # Each start is another holder: orders of an earlier process may still be in progress.
+    holder = f"{settings.replica_id}-{secrets.token_hex(8)}"
     options = order_manager.OrderManagerOptions(
-        holder, _planner_settings(given), given.order_lease_s
+        holder, _planner_settings(settings), settings.order_lease_s
     )
     return order_manager.OrderManager(
         options, board=orders.OrderBoard(), table=lease_table.LeaseTable()
@@ -218,40 +220,42 @@
 
 
 def _make_node(
-    given: control_settings.ControlSettings,
+    settings: control_settings.ControlSettings,
     restored: replica_types.Restored,
-    desk: order_manager.OrderManager,
+    engine_orders: order_manager.OrderManager,
 ) -> control.ControlNode:
-    ids = tuple(address.replica_id for address in given.replicas)
-    part = replica.Replica(
-        replica_id=given.replica_id,
-        initial_voters=replica_types.Voters(given.initial_voters or ids),
+    ids = tuple(address.replica_id for address in settings.replicas)
+    log_replica = replica.Replica(
+        replica_id=settings.replica_id,
+        initial_voters=replica_types.Voters(settings.initial_voters or ids),
         restored=restored,
         random=random.Random(secrets.randbits(128)),
     )
     limits = replicated_state.ClaimLimits(
-        retention_ms=given.claim_retention_s * 1000,
-        undated_retention_ms=given.claim_undated_retention_s * 1000,
-        claims=given.claim_limit,
+        retention_ms=settings.claim_retention_s * 1000,
+        undated_retention_ms=settings.claim_undated_retention_s * 1000,
+        claims=settings.claim_limit,
     )
     state = replicated_state.ReplicatedState(
-        claim_limits=limits, sub_states=(desk.table, desk.board)
+        claim_limits=limits, sub_states=(engine_orders.table, engine_orders.board)
     )
     return control.ControlNode(
-        replica_id=given.replica_id,
-        replica=part,
+        replica_id=settings.replica_id,
+        replica=log_replica,
         state=state,
         check=_findings,
-        http_address_by_replica_id={item.replica_id: item.http_address for item in given.replicas},
-        desk=desk,
+        http_address_by_replica_id={
+            item.replica_id: item.http_address for item in settings.replicas
+        },
+        engine_orders=engine_orders,
     )
 
 
-def _findings(whole: configuration.Configuration) -> tuple[str, ...]:
-    return tuple(finding.render() for finding in configuration_check.check(whole))
+def _findings(checked: configuration.Configuration) -> tuple[str, ...]:
+    return tuple(finding.render() for finding in configuration_check.check(checked))
 
 
-def _late() -> operations.Refused:
+def _timed_out() -> operations.Refused:
     return operations.Refused(
         errors.Code.UNCERTAIN,
         "The request was not decided in time; it may still take effect.",
@@ -296,31 +300,31 @@
     return time.time_ns() // _NS_PER_MS
 
 
-async def _run_until_stopped(given: control_settings.ControlSettings) -> None:
-    told_to_stop = _stop_signal.StopSignal()
-    told_to_stop.start()
-    program = ControlProgram(given)
+async def _run_until_stopped(settings: control_settings.ControlSettings) -> None:
+    stop_signal = _stop_signal.StopSignal()
+    stop_signal.start()
+    program = ControlProgram(settings)
     try:
         await program.start()
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(told_to_stop.wait)
+            await group.spawn(stop_signal.wait)
             await group.spawn(program.wait_failed)
         if program.failure is None:
             await program.stop()
         await program.close()
     finally:
-        told_to_stop.close()
+        stop_signal.close()
     if program.failure is not None:
         raise SystemExit(1)
 
 
 def run() -> None:
-    """Start the program from the command line."""
+    """Run the program from the command line."""
     with program_exit.exit_on_error():
-        given = _settings_flag.read("medlar-control", control_settings.ControlSettings)
-        control_settings.check(given)
-        logs.configure(given.log_level, given.replica_id)
-        curio.run(_run_until_stopped, given)
+        settings = _settings_flag.read("medlar-control", control_settings.ControlSettings)
+        control_settings.check(settings)
+        logs.configure(settings.log_level, settings.replica_id)
+        curio.run(_run_until_stopped, settings)
 
 
 if __name__ == "__main__":
--- a/src/medlarfork/control/control_settings.py
+++ b/src/medlarfork/control/control_settings.py
@@ -1,4 +1,4 @@
-"""Define the settings file of ``medlar-control``."""
+"""Settings file of ``medlar-control``."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaAddress:
-    """Say where one control replica is reached.
+    """Addresses of one control replica.
 
     Attributes:
         replica_id: Stable identity; also the name of its link key.
-        link_address: ``tcp://IP:PORT`` for the system's processes.
+        link_address: ``tcp://IP:PORT`` for links to other processes of the system.
         http_address: ``http://IP:PORT`` for operators.
     """
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operator:
-    """Name an operator and the hex SHA-256 digest of the key that authenticates them."""
+    """An operator, with the hex SHA-256 digest of the key that authenticates them."""
 
     name: str
     key_sha256: str
@@ -34,29 +34,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlSettings:
-    """Hold the settings of one control replica.
+    """Settings of one control replica.
 
     Attributes:
-        replica_id: Which of ``replicas`` this is.
-        data_folder: Folder for everything that must survive; on a disk of this host.
+        replica_id: This replica's id in ``replicas``.
+        data_folder: Folder of all persistent data; on a disk of this host.
         replicas: All control replicas, this one included; the same on all of them.
-        initial_voters: Who founds the log at the very first start; empty for all replicas.
-        operators: Who may use the operators' interface.
-        allow_anyone: True to let anyone use it, if ``operators`` is empty; for trials only.
+        initial_voters: Replicas that bootstrap the log at the very first start; empty for all.
+        operators: Operators that may use the operators' API.
+        allow_anyone: True to let anyone use that API if ``operators`` is empty; for trials only.
         keys_folder: Folder of link keys (see ``medlarctl keygen``); empty for no authentication.
-        claim_retention_s: How long idempotency keys that carry their time are remembered, in
-            seconds; older ones are refused.
+        claim_retention_s: How long idempotency keys that carry a time are remembered, in seconds;
+            older ones are refused.
         claim_undated_retention_s: How long other idempotency keys are remembered, in seconds; a
-            request that comes again later runs again.
-        claim_limit: Most idempotency keys remembered; the same on all replicas.
-        log_level: Lowest level that is logged.
-        order_lease_s: How long the lease for ordering engines lasts without renewal, in seconds.
-        order_limit_s: Longest time from sending an order until an engine that checks no fences
-            can't carry it out any more, in seconds; it has to exceed the longest load.
-        order_answer_s: How long an order's answer is waited for, in seconds.
-        drain_s: Longest wait for the requests of an engine whose role changes, in seconds.
-        weight_bytes_per_second: Rate that the weight store allows to all loads together.
-        weight_lanes: Loads that share that rate at once.
+            request that is repeated later runs again.
+        claim_limit: Maximum remembered idempotency keys; the same on all replicas.
+        log_level: Minimum level that is logged.
+        order_lease_s: Duration of the lease for ordering engines, in seconds.
+        order_limit_s: Maximum time after which an order can no longer be executed by an engine that
+            checks no fences, in seconds; it has to exceed the longest load.
+        order_answer_s: Timeout of an order's answer, in seconds.
+        drain_s: Maximum wait for the requests of an engine whose role changes, in seconds.
+        weight_bytes_per_second: Total rate of all loads from the weight store.
+        weight_lanes: Maximum concurrent loads, which share that rate.
     """
 
     replica_id: str
@@ -79,7 +79,7 @@
 
     @property
     def own_address(self) -> ReplicaAddress:
-        """Return where this replica is reached.
+        """Return the addresses of this replica.
 
         Raises:
             errors.SettingsError: It is not among ``replicas``.
@@ -93,34 +93,34 @@
         )
 
 
-def check(given: ControlSettings) -> None:
-    """Check what no single field shows.
+def check(candidate: ControlSettings) -> None:
+    """Check constraints between several settings.
 
     Raises:
         errors.SettingsError: The settings contradict each other.
     """
-    ids = [address.replica_id for address in given.replicas]
+    ids = [address.replica_id for address in candidate.replicas]
     if len(set(ids)) != len(ids):
         raise errors.SettingsError(
             "Two replicas have the same replica_id.", remedy="Give each an id of its own."
         )
-    if not set(given.initial_voters) <= set(ids):
+    if not set(candidate.initial_voters) <= set(ids):
         raise errors.SettingsError(
             "initial_voters names a replica that is not in replicas.",
             remedy="List its addresses in replicas.",
         )
-    if not given.operators and not given.allow_anyone:
+    if not candidate.operators and not candidate.allow_anyone:
         raise errors.SettingsError(
             "No operator is named, so nobody could change the configuration.",
             remedy="Add an [[operators]] table with name and key_sha256.",
         )
-    if given.operators and given.allow_anyone:
+    if candidate.operators and candidate.allow_anyone:
         raise errors.SettingsError(
             "allow_anyone is set although operators are named.", remedy="Remove one of the two."
         )
-    if given.order_answer_s >= given.order_limit_s:
+    if candidate.order_answer_s >= candidate.order_limit_s:
         raise errors.SettingsError(
-            "order_answer_s does not lie below order_limit_s.",
-            remedy="Set order_limit_s well above the longest load and the answer's time limit.",
+            "order_answer_s is not less than order_limit_s.",
+            remedy="Set order_limit_s well above the longest load and above order_answer_s.",
         )
-    _ = given.own_address
+    _ = candidate.own_address
--- a/src/medlarfork/control/control_types.py
+++ b/src/medlarfork/control/control_types.py
@@ -1,6 +1,6 @@
-"""Define the events and actions of the control node.
+"""Events and actions of the control node.
 
-Besides these the node takes ``node.Started``, ``node.MessageReceived``, ``node.TimeDue`` and
+The node also handles ``node.Started``, ``node.MessageReceived``, ``node.TimeDue`` and
 ``node.Synced`` and returns ``node.Send``, ``node.Wake``, ``node.Persist`` and
 ``replica_types.SaveSnapshot``. Messages are those of the replica, ``heartbeat`` and ``claim``.
 """
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WallClock:
-    """Event: tell the wall-clock time; retention goes by it. Due at start and every second."""
+    """Event: the wall-clock time, on which retention depends; due at start and every second."""
 
     unix_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OperatorRequested:
-    """Event: an authenticated operator asks something; ``OperatorAnswered`` follows once."""
+    """Event: a request of an authenticated operator; ``OperatorAnswered`` follows once."""
 
     call_id: str
     request: operations.Request
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRequested:
-    """Event: the process was told to stop gracefully (SIGTERM); ``Stopped`` follows once."""
+    """Event: graceful stop of the process (SIGTERM); ``Stopped`` follows once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderChanged:
-    """Action: log that another replica leads, or none (``leader_id`` empty)."""
+    """Action: log a change of the leader; ``leader_id`` is empty if there is none."""
 
     leader_id: str
     term: int
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderReady:
-    """Action: log that this replica leads and has applied all that was committed before."""
+    """Action: log that this replica leads and has applied everything committed before."""
 
     term: int
 
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewPublished:
-    """Action: log that a view was published, and who joined and left since the one before."""
+    """Action: log a published view, with members that joined and left since the previous one."""
 
     version: tuple[int, int]
     joined: tuple[str, ...]
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """Action: log a message that its sender had no right to send."""
+    """Action: log a message that its sender was not authorized to send."""
 
     sender: str
     kind: str
--- a/src/medlarfork/control/replicated_state.py
+++ b/src/medlarfork/control/replicated_state.py
@@ -1,7 +1,7 @@
-"""Apply the commands of the replicated log: changes, claims, members and sub-states.
+"""Replicated state of the control plane: changes, claims, members and sub-states.
 
-Applying is deterministic: replicas that apply the same commands hold the same state and give
-the same replies. Time is only what the commands carry, and it never goes back.
+Applying commands is deterministic: replicas that apply the same commands have the same state and
+give the same replies. Time is only what the commands carry, and it never goes back.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class SubState(Protocol):
-    """Keep a part of the replicated state that another module decides."""
+    """Part of the replicated state that another module implements."""
 
     @property
     def name(self) -> str:
@@ -35,17 +35,17 @@
         ...
 
     def encode(self) -> bytes:
-        """Return the whole sub-state for a snapshot."""
+        """Return the sub-state for a snapshot."""
         ...
 
     def restore(self, state: bytes) -> None:
-        """Replace the sub-state by an encoded one; empty bytes mean its first state."""
+        """Replace the sub-state by an encoded one; empty bytes mean the initial state."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimOperation:
-    """Hold one operation on claims; exactly one of the fields is set."""
+    """One operation on claims; exactly one of the fields is set."""
 
     request: claim.ClaimRequest | None = None
     finish: claim.ClaimFinish | None = None
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Command: note which entry hosts joined or left, so that a new leader knows them."""
+    """Command: record which entry hosts joined or left, so that a new leader knows them."""
 
     at_ms: int
     joined: tuple[member.Member, ...]
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubStateCommand:
-    """Command: hand a command to the sub-state of that name."""
+    """Command: pass a command to the sub-state of that name."""
 
     at_ms: int
     name: str
@@ -86,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubStateRefused:
-    """Say that a sub-state did not take a command; nothing was changed."""
+    """A sub-state refused a command; nothing was changed."""
 
     name: str
     message: str
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """Hold the whole state."""
+    """Encoded form of the state."""
 
     log_time_ms: int
     changes: _change_table.ChangeTableState
@@ -104,7 +104,7 @@
 
 
 class ReplicatedState:
-    """Hold the state that all control replicas agree on."""
+    """State that all control replicas agree on."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         return self._member_by_id
 
     def configuration_at(self, revision: int) -> heartbeat.RevisionedConfiguration | None:
-        """Return the configuration of a revision, if it is still kept."""
+        """Return the configuration of a revision; None if it is no longer kept."""
         found = self._changes.configuration_at(revision)
         return None if found is None else heartbeat.RevisionedConfiguration(revision, found)
 
@@ -151,12 +151,12 @@
         """Return the records of the last accepted changes, newest first."""
         return self._changes.history(limit)
 
-    def remembers(self, change_id: str) -> bool:
+    def has_answer(self, change_id: str) -> bool:
         """Return whether the answer to a change is kept."""
-        return self._changes.remembers(change_id)
+        return self._changes.has_answer(change_id)
 
     def claim_holder(self, key: claim.ClaimKey) -> claim.Holder | None:
-        """Return who holds the unfinished claim, if anyone does."""
+        """Return the holder of an unfinished claim, if there is one."""
         return self._claims.holder_of(key)
 
     def sub_state(self, name: str) -> SubState | None:
@@ -172,20 +172,20 @@
         decoded = COMMANDS.unpack(command)
         match decoded:
             case ConfigurationChange():
-                self._advance(decoded.accepted_at_ms)
+                self._advance_time(decoded.accepted_at_ms)
                 return self._changes.decide(decoded, self._log_time_ms)
             case ClaimBatch():
-                self._advance(decoded.at_ms)
+                self._advance_time(decoded.at_ms)
                 return tuple(self._apply_claim(item) for item in decoded.operations)
             case MembersChanged():
-                self._advance(decoded.at_ms)
-                return self._note_members(decoded)
+                self._advance_time(decoded.at_ms)
+                return self._update_members(decoded)
             case SubStateCommand():
-                self._advance(decoded.at_ms)
+                self._advance_time(decoded.at_ms)
                 return self._apply_to_sub_state(decoded)
 
     def encode(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Return the state for a snapshot."""
         snapshot = _Snapshot(
             self._log_time_ms,
             self._changes.state(),
@@ -196,10 +196,10 @@
         return msgspec.msgpack.encode(snapshot)
 
     def restore(self, state: bytes) -> None:
-        """Replace the whole state by an encoded one.
+        """Replace the state by an encoded one.
 
         Raises:
-            errors.DamagedJournalError: The bytes are no snapshot of this version.
+            errors.DamagedJournalError: The bytes are not a snapshot of this version.
         """
         try:
             snapshot = msgspec.msgpack.decode(state, type=_Snapshot)
@@ -215,8 +215,8 @@
         for name, sub_state in self._sub_state_by_name.items():
             sub_state.restore(snapshot.sub_states.get(name, b""))
 
-    def _advance(self, at_ms: int) -> None:
-        # A leader's clock may step back; what has expired must stay expired.
+    def _advance_time(self, at_ms: int) -> None:
+        # A leader's clock may step back, but what has expired must stay expired.
         self._log_time_ms = max(self._log_time_ms, at_ms)
         self._claims.expire(self._log_time_ms)
 
@@ -233,14 +233,14 @@
     def _apply_to_sub_state(self, command: SubStateCommand) -> bytes | SubStateRefused:
         sub_state = self._sub_state_by_name.get(command.name)
         if sub_state is None:
-            return SubStateRefused(command.name, "This version has no such part.")
+            return SubStateRefused(command.name, "This version has no such sub-state.")
         try:
             return sub_state.apply(command.command, self._log_time_ms)
         except errors.MedlarError as error:
-            # Raised on, it would stop every replica at the same entry at each start.
+            # If propagated, it would stop every replica at the same entry at each start.
             return SubStateRefused(command.name, str(error))
 
-    def _note_members(self, changed: MembersChanged) -> None:
+    def _update_members(self, changed: MembersChanged) -> None:
         for left in changed.left:
             known = self._member_by_id.get(left.entry_id)
             if known is not None and known.incarnation <= left.incarnation:
--- a/src/medlarfork/coordination/coordination_messages.py
+++ b/src/medlarfork/coordination/coordination_messages.py
@@ -1,6 +1,6 @@
-"""Define the messages between control replicas and entry hosts of a routed deployment.
+"""Messages between control replicas and entry hosts of a routed deployment.
 
-Any of them may be lost, late, repeated or reordered.
+Any message may be lost, delayed, duplicated or reordered.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """Tell a replica how an entry host is, periodically and at each change.
+    """Status of an entry host, sent to a replica periodically and at each change.
 
     Attributes:
         address: ``IP:PORT`` that callers connect to.
         zone: The data centre of the entry host.
-        is_ready: Whether callers may be sent to it.
+        is_ready: Whether it accepts requests from callers.
         routing_version: The version of the routing in force there.
-        view_boot: The replica's start whose view the entry host holds; 0 for none.
-        view_sequence: The last change of that view that it took.
+        view_boot: The boot id of the replica whose view the entry host holds; 0 for none.
+        view_sequence: The last change of that view that it applied.
     """
 
     address: str
@@ -33,17 +33,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """Tell an entry host what a replica believes, periodically.
+    """Status of a replica, sent periodically to an entry host.
 
     Attributes:
         leader_id: The leader that the replica knows, empty for none.
         term: The term of that leader.
-        members: All replicas of the log, so that entry hosts find those they don't know; empty
-            where they were told before.
-        entry_hosts: Most entry hosts heard of lately, among which shared budgets are divided.
-        up_s: How long the replica has run, in seconds.
+        members: All replicas of the log, so that entry hosts can connect to new ones; empty if
+            unchanged since an earlier status.
+        entry_hosts: Number of entry hosts heard recently, among which shared budgets are divided.
+        up_s: Uptime of the replica, in seconds.
         period_s: Time until its next status, in seconds (see ``status_period``).
-        wall_s: Its time of day, in Unix seconds; 0 if it does not say.
+        wall_s: Its wall-clock time, in Unix seconds; 0 if unknown.
     """
 
     leader_id: str
@@ -57,11 +57,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingPush:
-    """Give an entry host a version of the routing.
+    """A version of the routing for an entry host.
 
     Attributes:
-        version: The operator's number.
-        packed_body: The operator's body, compressed with zlib.
+        version: Version number assigned by the operator.
+        packed_body: The body that the operator sent, compressed with zlib.
     """
 
     version: int
@@ -70,12 +70,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewPush:
-    """Give an entry host a change of the view of the upstreams.
+    """A change of a replica's view of the upstreams, for an entry host.
 
     Attributes:
-        boot: Names the replica's start; its sequence numbers begin anew with each.
-        sequence: Grows by one with each change.
-        change: The change; a whole view needs no earlier one.
+        boot: Identifies the start of the replica; sequence numbers restart with each.
+        sequence: Increases by one with each change.
+        change: The change; a full view does not depend on earlier ones.
     """
 
     boot: int
@@ -85,10 +85,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaHello:
-    """Tell another replica that this one runs.
+    """Announces a running replica to another one.
 
     Attributes:
-        known: Replicas that the sender knows, to be connected to as well.
+        known: Replicas that the sender knows, for the receiver to connect to.
         wants_upstreams: Whether the sender has just started and knows no upstreams yet.
     """
 
@@ -98,13 +98,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamGossip:
-    """Pass on announcements to another replica.
+    """Announcements of upstreams, forwarded to another replica.
 
     Attributes:
-        heard: Announcements heard from upstreams themselves, or all that are present.
+        heard: Announcements received from upstreams directly, or all that are present.
         left: Incarnations that left.
-        token: To be returned in a ``GossipReceipt``; 0 if none is needed.
-        is_whole: Whether that is all that the sender knows.
+        token: Echoed in the ``GossipReceipt``; 0 if none is needed.
+        is_whole: Whether this is everything that the sender knows.
     """
 
     heard: tuple[upstream_types.Announcement, ...]
@@ -115,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GossipReceipt:
-    """Confirm that an ``UpstreamGossip`` was taken and passed on to the entry hosts."""
+    """Confirms that an ``UpstreamGossip`` was applied and forwarded to the entry hosts."""
 
     token: int
 
@@ -129,4 +129,4 @@
     UpstreamGossip,
     GossipReceipt,
 )
-"""Every message class of this module, for the codec of the links."""
+"""All message classes of this module, for the codec of the links."""
--- a/src/medlarfork/coordination/coordinator.py
+++ b/src/medlarfork/coordination/coordinator.py
@@ -1,12 +1,13 @@
-"""Decide everything that a coordinator does: its one door.
+"""State machine of a coordinator, driven through a single event interface.
 
 A coordinator is one replica of the control plane of a routed deployment. What operators declare is
-in the replicated log. Which upstreams and entry hosts there are is soft: every replica hears it,
-passes it on, and forgets it at a restart. The placement of requests is owned, shard by shard, by
-replicas that entry hosts agree on; nothing that must hold rests on that, so they go on alone too.
+in the replicated log. The known upstreams and entry hosts are soft state: every replica receives
+announcements, gossips them, and starts without them after a restart. Placement of requests is
+owned, shard by shard, by replicas that entry hosts agree on; no safety property depends on the
+owner, so entry hosts can also place alone.
 
-The times are those of a clock that counts while the machine is suspended: the leader's lease, and
-with it the right to answer reads, must run out while it stands still.
+All times are of a clock that also advances while the machine is suspended: the leader's lease, and
+with it the right to answer reads, must expire during a suspension.
 """
 
 from __future__ import annotations
@@ -41,63 +42,65 @@
 from medlarfork.routes import routing
 
 TICK_S = 0.1
-"""How often timed work is looked at, in seconds: a fraction of every limit that rests on it."""
+"""Interval of periodic work, in seconds: a fraction of every timeout that it enforces."""
 
 PLACEMENT_PERIOD_S = 0.02
-"""How often requests that wait are looked at, in seconds: a fifth of the reading that an engine
-may have ahead, so that none idles."""
+"""Interval at which queued requests are re-evaluated, in seconds: a fifth of the prefill backlog
+that an engine may have, so that no engine idles."""
 
 VIEW_PERIOD_S = 0.1
-"""Least time between two changes of the view that are told to entry hosts, in seconds, but for
-leaves, which are told at once. At a start each upstream would else be a message from each replica
-to each entry host."""
+"""Minimum interval between two view changes that are pushed to entry hosts, in seconds. Leaves are
+pushed at once. Without it each upstream that starts would cause one message from each replica to
+each entry host."""
 
 CLEANUP_PERIOD_S = 1.0
-"""How often the owner looks for runs whose end was never reported, in seconds: they take many."""
+"""Interval at which the owner scans for runs whose end was never reported, in seconds; the scan
+covers many runs."""
 
 LOAD_PERIOD_S = 0.25
-"""How often the leader is told of the load that engines are ordered by, in seconds."""
+"""Interval at which load is reported to the leader, which orders engines by it, in seconds."""
 
 MEMBERS_PERIOD_S = 2.0
-"""How often that includes the replicas, in seconds, besides at each change of theirs: their names
-are two thirds of its bytes, which 9 replicas send to each of hundreds of entry hosts."""
+"""Interval at which a status lists the replicas, in seconds, besides at each change of the
+membership: their names are two thirds of its bytes, which 9 replicas send to each of hundreds of
+entry hosts."""
 
 Decode = Callable[[bytes], routing.Routing]
-"""Decodes an operator's body that was checked before."""
+"""Decodes an operator's body that has already been validated."""
 
 
 class Coordinator:
-    """Turn the events of one replica into actions."""
+    """Turns the events of one replica into actions."""
 
     def __init__(
         self,
         *,
         replica_id: str,
         boot: int,
-        part: replica.Replica,
+        log_replica: replica.Replica,
         seeds: tuple[str, ...],
         announce_period_s: float,
         ttl_s: float,
         decode: Decode,
         duties: duty_types.DutySettings = duty_types.DutySettings(),  # noqa: B008 - frozen
     ) -> None:
-        """Wire the parts together.
+        """Create the components of a coordinator.
 
         Args:
-            replica_id: Names this replica; others find its address by it.
-            boot: Differs at every start.
-            part: The replicated log.
-            seeds: Replicas that the settings name.
+            replica_id: Identifies this replica; others derive its address from it.
+            boot: Identifier that is unique to each start.
+            log_replica: The replicated log.
+            seeds: Replicas listed in the settings.
             announce_period_s: How often upstreams announce themselves, in seconds.
-            ttl_s: How long callers keep an answer of the directory, in seconds.
+            ttl_s: How long callers cache an answer of the directory, in seconds.
             decode: Decodes an operator's body.
-            duties: Calls that one replica has to make.
+            duties: Singleton duties: platform calls that exactly one replica makes.
         """
         self._replica_id = replica_id
-        self._replica = part
+        self._replica = log_replica
         self._decode = decode
         self._state = routing_state.RoutingState()
-        self._routing_desk = routing_manager.RoutingManager(replica_id, self._state)
+        self._routing_manager = routing_manager.RoutingManager(replica_id, self._state)
         self._registry = upstream_registry.UpstreamRegistry(announce_period_s=announce_period_s)
         self._upstreams = upstream_manager.UpstreamManager(self._registry)
         self._members = membership_manager.MembershipManager(replica_id, seeds)
@@ -115,10 +118,10 @@
         self._term = 0
         self._status_due = -math.inf
         self._members_due = -math.inf
-        self._told_members: tuple[str, ...] = ()
+        self._sent_members: tuple[str, ...] = ()
         self._tick_due = -math.inf
         self._placement_due = -math.inf
-        self._tidy_due = -math.inf
+        self._cleanup_due = -math.inf
         self._view_due = -math.inf
         self._entry_ids: frozenset[str] = frozenset()
         self._actions: list[Any] = []
@@ -132,9 +135,9 @@
         self._started_at = min(self._started_at, now)
         match event:
             case node.MessageReceived(sender, message):
-                self._take_message(sender, message)
+                self._handle_message(sender, message)
             case coordinator_types.OperationReceived(operation_id, operation):
-                self._take_operation(operation_id, operation)
+                self._handle_operation(operation_id, operation)
             case coordinator_types.SeedsChanged(seeds):
                 self._members.use_seeds(seeds)
             case coordinator_types.WallTime(wall_s, at):
@@ -146,16 +149,16 @@
         self._push_view()
         self._actions += self._crashes.push(self._entry_ids, now)
         self._actions += self._backpressure.push(self._entry_ids, leads=self.leads, now=now)
-        self._serve_waiting()
+        self._place_waiting()
         if now >= self._tick_due:
             self._tick()
         for answer in self._owner.drain_decisions():
-            self._crashes.on_decided(answer)
+            self._crashes.on_decision(answer)
             self._actions.append(decision_log.log_event(answer))
         return tuple(self._actions)
 
     def gauges(self) -> dict[str, float]:
-        """Return the state by name, for the metrics."""
+        """Return the gauges by name, for the metrics."""
         return {
             "term": self._term,
             "leads": self.leads,
@@ -177,81 +180,82 @@
     def _holds_lease(self) -> bool:
         return self._replica.holds_lease(self._now)
 
-    def _take_message(self, sender: str, message: Any) -> None:
+    def _handle_message(self, sender: str, message: Any) -> None:
         match message:
             case coordination_messages.EntryStatus():
-                self._take_entry_status(sender, message)
+                self._handle_entry_status(sender, message)
             case coordination_messages.ReplicaHello(known, wants_upstreams):
-                self._members.hear(sender, self._now)
-                self._members.learn(known)
+                self._members.record_contact(sender, self._now)
+                self._members.add_known(known)
                 if wants_upstreams:
-                    # Before the upstreams: it may own their placement as soon as it knows them.
-                    self._actions += self._backpressure.tell_replica(sender, self._now)
-                    self._actions.append(node.Send(sender, self._upstreams.whole()))
+                    # Sent before the upstreams: the receiver may own their placement once it knows
+                    # them.
+                    self._actions += self._backpressure.sync_replica(sender, self._now)
+                    self._actions.append(node.Send(sender, self._upstreams.full_gossip()))
             case coordination_messages.UpstreamGossip():
-                self._members.hear(sender, self._now)
+                self._members.record_contact(sender, self._now)
                 if message.is_whole:
                     self._members.record_upstreams_received(sender)
                 self._actions += self._upstreams.on_gossip(sender, message, self._now)
             case coordination_messages.GossipReceipt():
                 self._actions += self._upstreams.on_receipt(sender, message)
             case crash_messages.CrashReport():
-                self._actions += self._crashes.take(message, self._now)
+                self._actions += self._crashes.merge_report(message, self._now)
             case signal_messages.SignalReport():
                 self._actions += self._backpressure.take(message, self._now)
-                self._upstreams.note_leaving(message.leaving, self._now)
+                self._upstreams.mark_leaving(message.leaving, self._now)
             case usage_messages.UsageTold() | engine_messages.LoadTold():
-                self._actions += self.duties.take(sender, message, self._now)
+                self._actions += self.duties.handle_message(sender, message, self._now)
             case _ if type(message) in placement_messages.PLACEMENT_MESSAGES:
                 self._place(sender, message)
             case _:
-                self._members.hear(sender, self._now)
+                self._members.record_contact(sender, self._now)
                 self._run_log(node.MessageReceived(sender, message))
 
     def _place(self, sender: str, message: Any) -> None:
-        """Give a message on placement to the owner, but for trials that may not run now."""
+        """Pass a placement message to the owner, unless it is a trial that may not run now."""
         match message:
             case placement_messages.PlaceRequest() if message.trial_key:
-                refused = self._crashes.ask_trial(message, self._now)
+                refused = self._crashes.check_trial(message, self._now)
                 if refused is not None:
                     answer = placement_decision.Decision(sender, refused)
                     self._actions += [decision_log.log_event(answer), node.Send(sender, refused)]
                     return
             case placement_messages.RunEnded():
-                self._crashes.on_ended(message, self._now)
+                self._crashes.on_run_ended(message, self._now)
         self._actions += self._owner.handle(sender, message, self._now)
 
-    def _take_entry_status(self, sender: str, status: coordination_messages.EntryStatus) -> None:
+    def _handle_entry_status(self, sender: str, status: coordination_messages.EntryStatus) -> None:
         is_new = sender not in self._entry_ids
-        self._entries.hear(sender, status, self._now)
+        self._entries.record_status(sender, status, self._now)
         self._feed.period_s = self._entries.period_s
         if is_new:
             self._entry_ids |= {sender}
-            self._note("entry_host_heard", entry=sender, ready=status.is_ready)
+            self._log_event("entry_host_heard", entry=sender, ready=status.is_ready)
             self._actions.append(node.Send(sender, self._own_status()))
-        # One without routing has just started, perhaps before it was missed.
+        # A host without routing has just restarted, perhaps before its silence was noticed.
         if is_new or not status.routing_version:
-            self._tell_learnt(sender)
-        self._actions += self._feed.complete_view(sender, status, self._registry.whole, self._now)
+            self._send_learned_state(sender)
+        self._actions += self._feed.repair_view(sender, status, self._registry.full_view, self._now)
         self._actions += self._feed.push_routing(
             {sender: status}, self._state.current, leads=self.leads, now=self._now
         )
 
-    def _tell_learnt(self, entry_id: str) -> None:
-        """Tell an entry host that has just come what others learnt from upstreams."""
-        known = self._crashes.whole(self._now)
+    def _send_learned_state(self, entry_id: str) -> None:
+        """Send crash cases and backpressure signals to an entry host that has just connected."""
+        known = self._crashes.full_report(self._now)
         if known.cases:
             self._actions.append(node.Send(entry_id, known))
-        asked_for = self._backpressure.whole(entry_id, self._now)
-        if not asked_for.is_empty:
-            self._actions.append(node.Send(entry_id, asked_for))
+        backpressure = self._backpressure.whole(entry_id, self._now)
+        if not backpressure.is_empty:
+            self._actions.append(node.Send(entry_id, backpressure))
 
-    def _take_operation(self, operation_id: int, operation: coordinator_types.Operation) -> None:
+    def _handle_operation(self, operation_id: int, operation: coordinator_types.Operation) -> None:
         match operation:
             case coordinator_types.PutRouting():
                 self._put(operation_id, operation)
             case coordinator_types.GetRouting():
-                reply = self._routing_desk.get(holds_lease=self._holds_lease())
+                reply = self._routing_manager.get(holds_lease=self._holds_lease())
                 if not self.leads and self._leader_id:
                     reply = coordinator_types.AskLeader(self._leader_id)
                 self._reply(operation_id, reply)
@@ -269,10 +273,10 @@
                 self._actions += self._crashes.lift(key, self._members.peers, self._now)
                 self._reply(operation_id, coordinator_types.Accepted())
             case coordinator_types.ListCrashCases():
-                held = self._crashes.whole(self._now)
+                held = self._crashes.full_report(self._now)
                 self._reply(operation_id, coordinator_types.CrashCasesFound(held.cases))
             case coordinator_types.ListDuties():
-                self._reply(operation_id, self.duties.found(self._now))
+                self._reply(operation_id, self.duties.summary(self._now))
 
     def _put(self, operation_id: int, operation: coordinator_types.PutRouting) -> None:
         if not self.leads:
@@ -281,7 +285,7 @@
                 reply = coordinator_types.AskLeader(self._leader_id)
             self._reply(operation_id, reply)
             return
-        results = self._routing_desk.put(
+        results = self._routing_manager.put(
             operation_id, operation, holds_lease=self._holds_lease(), now=self._now
         )
         for result in results:
@@ -291,19 +295,19 @@
                 self._actions.append(result)
 
     def _quorum(self) -> int:
-        """Return how many replicas, this one included, are a majority."""
+        """Return the number of replicas, this one included, that form a majority."""
         voters = self._replica.status.voters
         return 1 if voters is None else len(voters.voters) // 2 + 1
 
     def _run_log(self, event: Any) -> None:
-        """Feed the log; events that its actions lead to are fed after the actions before them."""
+        """Pass an event to the log; events that result from its actions follow those actions."""
         events = collections.deque((event,))
         while events:
             for action in self._replica.handle(events.popleft(), self._now):
                 self._perform(action, events)
 
     def _run_duties(self, actions: tuple[Any, ...], events: collections.deque[Any] | None) -> None:
-        """Perform what the duties ask for; inside the log's own work its events are to follow."""
+        """Perform actions of the duties; proposals during log work are queued in ``events``."""
         for action in actions:
             if not isinstance(action, replica_types.Propose):
                 self._actions.append(action)
@@ -319,16 +323,16 @@
             case replica_types.RestoreSnapshot(_, state):
                 self._state.restore(state)
                 self._crashes.restore(self._state.held_by_key.values(), self._now)
-                self._on_routing()
+                self._use_routing()
             case replica_types.TakeSnapshot(index):
                 taken = replica_types.SnapshotTaken(index, self._state.snapshot())
                 events.append(taken)
             case replica_types.RoleChanged(role, term, leader_id):
                 self._on_role(role, term, leader_id, events)
             case replica_types.ProposalRefused(proposal_id, leader_id, _):
-                self._actions += self._routing_desk.on_refused(proposal_id, leader_id)
+                self._actions += self._routing_manager.on_refused(proposal_id, leader_id)
             case replica_types.VotersChanged(index, voters):
-                self._note(
+                self._log_event(
                     "members_changed",
                     index=index,
                     voters=",".join(voters.voters),
@@ -340,22 +344,22 @@
     def _apply(self, command: bytes, proposal_id: str, events: collections.deque[Any]) -> None:
         match self._state.apply(command) if command else None:
             case routing_state.RoutingVersion(version):
-                self._note("routing_applied", version=version)
-                self._on_routing()
+                self._log_event("routing_applied", version=version)
+                self._use_routing()
                 self._push_routing()
             case routing_state.HeldRequest() as held:
-                self._note("request_held_in_log", key=held.key)
+                self._log_event("request_held_in_log", key=held.key)
                 self._crashes.restore((held,), self._now)
             case routing_state.LiftedRequest(key):
-                self._note("request_lifted_in_log", key=key)
+                self._log_event("request_lifted_in_log", key=key)
                 self._actions += self._crashes.lift(key, (), self._now)
             case None:
                 pass
             case applied:
                 self._run_duties(self.duties.on_applied(applied, self._now), events)
-        self._actions += self._routing_desk.on_applied(proposal_id)
+        self._actions += self._routing_manager.on_applied(proposal_id)
 
-    def _on_routing(self) -> None:
+    def _use_routing(self) -> None:
         if self._state.current.version:
             services = self._decode(self._state.current.body).services
             self._owner.use_services(services)
@@ -369,7 +373,7 @@
         events: collections.deque[Any],
     ) -> None:
         if leader_id != self._leader_id:
-            self._note("leader_changed", leader=leader_id or None, term=term, role=role.value)
+            self._log_event("leader_changed", leader=leader_id or None, term=term, role=role.value)
         was_leading = self.leads
         self._role, self._term, self._leader_id = role, term, leader_id
         if self.leads and not was_leading:
@@ -380,7 +384,7 @@
         self._tick_due = -math.inf
 
     def _push_view(self) -> None:
-        """Tell entry hosts what changed: leaves at once, the rest by the next tick."""
+        """Push view changes to entry hosts: leaves at once, other changes by the next tick."""
         if not self._upstreams.has_change:
             return
         if self._now < self._view_due and not self._upstreams.has_leave:
@@ -389,7 +393,7 @@
         change = self._upstreams.take_change()
         self._actions += self._feed.push_view(change, self._entry_ids, self._now)
         self._actions += self._owner.use_upstreams(self._registry.present, self._now)
-        self._note(
+        self._log_event(
             "upstreams_changed",
             present=",".join(item.upstream_id for item in change.present) or None,
             left=",".join(change.left) or None,
@@ -405,88 +409,88 @@
         )
 
     def _tick(self) -> None:
-        """Do what is due by time."""
+        """Perform periodic work that is due."""
         self._tick_due = self._now + TICK_S
-        self._actions += self._routing_desk.expire(self._now)
+        self._actions += self._routing_manager.expire(self._now)
         has_silent_peer = self._members.has_silent_peer(self._now)
-        self._actions += self._upstreams.on_time(
+        self._actions += self._upstreams.on_tick(
             self._members.peers, self._now, has_silent_peer=has_silent_peer
         )
         self._push_view()
-        self._look_after_entries()
-        self._tidy_placement()
+        self._update_entries()
+        self._clean_up_placement()
         if self.leads:
             for proposal in self._crashes.proposals(self._state.held_by_key, self._now):
                 self._run_log(proposal)
-        for action in self._members.on_time(self._replica.status, leads=self.leads, now=self._now):
+        for action in self._members.on_tick(self._replica.status, leads=self.leads, now=self._now):
             if isinstance(action, replica_types.ChangeVoters):
-                self._note(
+                self._log_event(
                     "member_change_asked", add=action.add or None, remove=action.remove or None
                 )
                 self._run_log(action)
             else:
                 self._actions.append(action)
         self._run_duties(
-            self.duties.on_time(self._entry_ids, self._registry.present, self._now), None
+            self.duties.on_tick(self._entry_ids, self._registry.present, self._now), None
         )
-        self._tell_load()
+        self._report_load()
         if self._now >= self._status_due:
             self._status_due = self._now + self._entries.period_s
             status = self._periodic_status()
             self._actions += [node.Send(entry_id, status) for entry_id in self._entry_ids]
-            self._crashes.on_time(self._now)
-            self._backpressure.on_time(self._now)
+            self._crashes.on_tick(self._now)
+            self._backpressure.on_tick(self._now)
             self._push_routing()
         self._actions.append(node.Wake(self._tick_due))
 
-    def _tell_load(self) -> None:
-        """Tell the leader what this replica was asked to place, if engines are ordered by it."""
+    def _report_load(self) -> None:
+        """Report the load offered to this replica to the leader, if it orders engines by load."""
         if self._now < self._load_due or not self.duties.orders_engines:
             return
         self._load_due = self._now + LOAD_PERIOD_S
-        told = engine_messages.LoadTold(self._boot, self._owner.offered())
+        report = engine_messages.LoadTold(self._boot, self._owner.offered())
         if self.leads:
-            self.duties.take(self._replica_id, told, self._now)
+            self.duties.handle_message(self._replica_id, report, self._now)
         elif self._leader_id:
-            self._actions.append(node.Send(self._leader_id, told))
+            self._actions.append(node.Send(self._leader_id, report))
 
-    def _serve_waiting(self) -> None:
-        """Look at the requests that wait, at most once in a while."""
+    def _place_waiting(self) -> None:
+        """Re-evaluate queued requests, at most once per ``PLACEMENT_PERIOD_S``."""
         if self._now < self._placement_due or not self._owner.waiting:
             return
         self._actions += self._owner.on_time(self._now)
         self._placement_due = self._now + PLACEMENT_PERIOD_S
         self._actions.append(node.Wake(self._placement_due))
 
-    def _tidy_placement(self) -> None:
-        if self._now < self._tidy_due:
+    def _clean_up_placement(self) -> None:
+        if self._now < self._cleanup_due:
             return
-        self._tidy_due = self._now + CLEANUP_PERIOD_S
+        self._cleanup_due = self._now + CLEANUP_PERIOD_S
         overdue = self._owner.tidy(self._now)
         if overdue:
-            self._note("run_ends_missed", runs=overdue)
+            self._log_event("run_ends_missed", runs=overdue)
 
-    def _look_after_entries(self) -> None:
-        """Drop the entry hosts that fell silent, and give routing to those that have none."""
+    def _update_entries(self) -> None:
+        """Remove silent entry hosts, and push routing to hosts that have none."""
         present = self._entries.status_by_id(self._now)
         for entry_id in self._entry_ids - present.keys():
-            self._note("entry_host_silent", entry=entry_id)
+            self._log_event("entry_host_silent", entry=entry_id)
             self._actions += self._owner.release_entry(entry_id, self._now)
         self._entry_ids = frozenset(present)
-        self._owner.use_entries(self._entry_ids, self._entries.hosts)
-        self._feed.forget_missing(present)
-        # Those without routing serve nobody until they have one, and need not ask again meanwhile.
+        self._owner.use_entries(self._entry_ids, self._entries.host_count)
+        self._feed.remove_missing(present)
+        # A host without routing serves nobody, so it is pushed without waiting for its next status.
         without = {name: status for name, status in present.items() if not status.routing_version}
         self._actions += self._feed.push_routing(
             without, self._state.current, leads=self.leads, now=self._now
         )
 
     def _periodic_status(self) -> coordination_messages.ReplicaStatus:
-        """Return the status for all entry hosts, most times without the replicas' names."""
+        """Return the status for all entry hosts, which usually omits the list of replicas."""
         status = self._own_status()
-        if status.members == self._told_members and self._now < self._members_due:
+        if status.members == self._sent_members and self._now < self._members_due:
             return dataclasses.replace(status, members=())
-        self._told_members = status.members
+        self._sent_members = status.members
         self._members_due = self._now + MEMBERS_PERIOD_S
         return status
 
@@ -497,7 +501,7 @@
             self._leader_id,
             self._term,
             members,
-            self._entries.hosts,
+            self._entries.host_count,
             self._now - self._started_at,
             self._entries.period_s,
             0.0 if self._wall_offset_s is None else self._now + self._wall_offset_s,
@@ -506,5 +510,5 @@
     def _reply(self, operation_id: int, reply: coordinator_types.Reply) -> None:
         self._actions.append(coordinator_types.OperationDone(operation_id, reply))
 
-    def _note(self, event: str, **fields: Any) -> None:
+    def _log_event(self, event: str, **fields: Any) -> None:
         self._actions.append(coordinator_types.LogEvent(event, fields))
--- a/src/medlarfork/coordination/coordinator_command.py
+++ b/src/medlarfork/coordination/coordinator_command.py
@@ -1,4 +1,4 @@
-"""Run ``medlar-coordinator``: a replica of a routed deployment with the product's own names."""
+"""Command ``medlar-coordinator``: runs a replica of a routed deployment with the default API."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 _quick_start.begin()
 
-import curio  # noqa: E402 - what it would import is put off before
+import curio  # noqa: E402 - its imports are deferred above
 
 from medlarfork import logs  # noqa: E402
 from medlarfork.coordination import (  # noqa: E402
@@ -20,21 +20,21 @@
 from medlarfork.settings import _settings_flag, program_exit  # noqa: E402
 
 
-def _read() -> coordinator_settings.CoordinatorSettings:
+def _read_settings() -> coordinator_settings.CoordinatorSettings:
     return _settings_flag.read("medlar-coordinator", coordinator_settings.CoordinatorSettings)
 
 
 def run() -> None:
-    """Start the program from the command line."""
+    """Run the program from the command line."""
     with program_exit.exit_on_error():
-        given = _read()
-        logs.configure(given.log_level, given.replica_id, stream=sys.stdout)
-        port = int(given.serve.rpartition(":")[2])
+        settings = _read_settings()
+        logs.configure(settings.log_level, settings.replica_id, stream=sys.stdout)
+        port = int(settings.serve.rpartition(":")[2])
         program = coordinator_program.CoordinatorProgram(
-            given,
+            settings,
             api_format=operations_format.OwnFormat(http_port=port),
-            read_seeds=lambda: _read().seeds,
-            platform_api_format=platform_format.DefaultFormat(given.replica_id),
+            read_seeds=lambda: _read_settings().seeds,
+            platform_api_format=platform_format.DefaultFormat(settings.replica_id),
         )
         _quick_start.end()
         curio.run(coordinator_program.run_until_stopped, program)
--- a/src/medlarfork/coordination/coordinator_metrics.py
+++ b/src/medlarfork/coordination/coordinator_metrics.py
@@ -1,4 +1,4 @@
-"""Count and time what a coordinator is asked and what its placement decides."""
+"""Metrics of a coordinator's operations and placement decisions."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class CoordinatorMetrics:
-    """Keep the metrics of one replica.
+    """Metrics of one replica.
 
     Attributes:
-        process: The instruments' process, which answers requests for them.
+        process: Process metrics that own the instruments and serve metrics requests.
     """
 
     def __init__(self, read_gauges: gauges.ReadGauges) -> None:
-        """Make the instruments; ``read_gauges`` is called when they are rendered."""
+        """Create the instruments; ``read_gauges`` is called whenever they are rendered."""
         self.process = process_metrics.ProcessMetrics("medlarfork.coordination", read_gauges)
         self._operations = self.process.tally(
             "medlar_operations", "Operations answered.", ("operation", "status")
@@ -38,5 +38,5 @@
         self._events.add(1, event)
 
     def time_placement(self, waited_s: float) -> None:
-        """Count how long a request waited before it was placed."""
+        """Record how long a request waited before it was placed."""
         self._wait.record(waited_s)
