--- a/src/medlarfork/coordination/coordinator_program.py
+++ b/src/medlarfork/coordination/coordinator_program.py
@@ -1,4 +1,4 @@
-"""Run a coordinator: wire its node to the disk, other processes, operators and upstreams."""
+"""Process of a coordinator: connects its state machine to disk, links, platform and HTTP."""
 
 from __future__ import annotations
 
@@ -30,17 +30,18 @@
 
 _log = logging.getLogger(__name__)
 
-OPERATION_LIMIT_S = 4.0
-"""Longest wait for an operation's reply, in seconds; every operation ends sooner by itself."""
+OPERATION_TIMEOUT_S = 4.0
+"""Maximum wait for an operation's reply, in seconds; the state machine ends every operation
+sooner."""
 
 HANDOVER_S = 0.4
-"""Time given to the next leader to take over before this process closes, in seconds."""
+"""Time for the next leader to take over before this process closes, in seconds."""
 
-CLOSE_WITHIN_S = 0.5
-"""Time given to operations in progress when the process closes, in seconds."""
+CLOSE_TIMEOUT_S = 0.5
+"""Time for operations in progress when the process closes, in seconds."""
 
-WALL_PERIOD_S = 0.4
-"""How often the time of day is read anew, in seconds: as often as entry hosts are told of it."""
+WALL_TIME_PERIOD_S = 0.4
+"""Interval at which the wall clock is read, in seconds: as often as it is sent to entry hosts."""
 
 REPLICA_OPTIONS = replica.ReplicaOptions(
     election_timeout_min_s=0.8,
@@ -50,34 +51,35 @@
     drift_margin_s=0.1,
     snapshot_every_entries=400,
 )
-"""Times of the log: a lost leader is replaced in about 1.5 s, within which a caller's second try
-falls; a snapshot each 400 changes keeps the journal of large changes at some megabytes."""
+"""Options of the replicated log. A lost leader is replaced in about 1.5 s, in time for a caller's
+second attempt; a snapshot every 400 changes keeps the journal at a few megabytes when changes are
+large."""
 
 ReadSeeds = Callable[[], tuple[str, ...]]
-"""Reads the seeds that the settings name now."""
+"""Reads the seeds that the settings list at present."""
 
 
 class CoordinatorProgram:
-    """Own the sockets, the disk and the tasks of one replica."""
+    """Owns the sockets, the disk and the tasks of one replica."""
 
     def __init__(
         self,
-        given: coordinator_settings.CoordinatorSettings,
+        settings: coordinator_settings.CoordinatorSettings,
         *,
         api_format: operations_format.OperationsFormat,
         read_seeds: ReadSeeds,
         platform_api_format: platform_format.PlatformFormat,
     ) -> None:
-        """Wire the parts; nothing is opened before ``start``."""
-        self._given = given
-        self._speaks = api_format
+        """Create the components; nothing is opened before ``start``."""
+        self._settings = settings
+        self._api_format = api_format
         self._read_seeds = read_seeds
-        self._journal = journal.Journal(pathlib.Path(given.data_folder))
+        self._journal = journal.Journal(pathlib.Path(settings.data_folder))
         self._disk = _disk_writer.DiskWriter(
             self._journal, on_synced=self._on_synced, on_failed=self._on_disk_failed
         )
         self._link = link.Link(
-            identity=given.replica_id,
+            identity=settings.replica_id,
             codec=codec.Codec(
                 (
                     *routed_links.ENTRY_MESSAGES,
@@ -85,21 +87,21 @@
                     *engine_messages.ENGINE_MESSAGES,
                 )
             ),
-            bind=f"tcp://{given.replica_id}:{given.link_port}",
+            bind=f"tcp://{settings.replica_id}:{settings.link_port}",
             options=routed_links.LINK_OPTIONS,
         )
-        self._server = http_server.at_address(self._serve, given.serve)
+        self._server = http_server.at_address(self._serve, settings.serve)
         self._directory = (
-            http_server.at_address(self._serve, given.directory) if given.directory else None
+            http_server.at_address(self._serve, settings.directory) if settings.directory else None
         )
         self._health = (
-            http_server.at_address(self._serve_health, given.health) if given.health else None
+            http_server.at_address(self._serve_health, settings.health) if settings.health else None
         )
         self._platform = (
             None
-            if given.duties.is_empty
+            if settings.duties.is_empty
             else platform_caller.PlatformCaller(
-                given.duties.address,
+                settings.duties.address,
                 api_format=platform_api_format,
                 may_act=self._may_act,
                 on_call_end=self._on_platform_called,
@@ -108,7 +110,7 @@
         self._metrics = coordinator_metrics.CoordinatorMetrics(self._gauges)
         self._node: coordinator.Coordinator | None = None
         self._runner: runner.Runner | None = None
-        self._waiting_by_operation: dict[int, curio.Queue] = {}
+        self._replies_by_operation: dict[int, curio.Queue] = {}
         self._operations = 0
         self._tasks = curio.TaskGroup()
         self.failure: Exception | None = None
@@ -120,28 +122,28 @@
         Raises:
             errors.JournalError: The disk can't be used.
             errors.LinkError: The link's address can't be bound.
-            errors.SettingsError: A server's address can't be listened on.
+            errors.SettingsError: A server can't listen on its address.
         """
         restored = await curio.run_in_thread(self._journal.start)
         self._node = self._make_node(restored)
-        self._runner = runner.Runner(self._node, perform=self._perform, clock=suspended_clock)
+        self._runner = runner.Runner(self._node, perform=self._perform, clock=boottime_clock)
         await self._disk.start()
         await self._link.start()
         await self._runner.start()
         if self._platform is not None:
             await self._platform.start()
-            await self._tasks.spawn(self._tell_wall_time)
+            await self._tasks.spawn(self._post_wall_time)
         await self._tasks.spawn(self._receive)
         await self._server.start()
-        for server in self._further_servers():
+        for server in self._optional_servers():
             await server.start()
         logs.event(
             _log,
             "started",
-            replica=self._given.replica_id,
+            replica=self._settings.replica_id,
             records=len(restored.records),
             fresh=restored.fresh,
-            seeds=",".join(self._given.seeds),
+            seeds=",".join(self._settings.seeds),
         )
 
     async def stop(self) -> None:
@@ -153,9 +155,9 @@
 
     async def close(self) -> None:
         """Close everything."""
-        await self._server.close(within_s=CLOSE_WITHIN_S)
-        for server in self._further_servers():
-            await server.close(within_s=CLOSE_WITHIN_S)
+        await self._server.close(within_s=CLOSE_TIMEOUT_S)
+        for server in self._optional_servers():
+            await server.close(within_s=CLOSE_TIMEOUT_S)
         await self._tasks.cancel_remaining()
         if self._platform is not None:
             await self._platform.close()
@@ -168,7 +170,7 @@
         logs.event(_log, "stopped")
 
     async def reload(self) -> None:
-        """Take the seeds that the settings name now."""
+        """Apply the seeds that the settings list now."""
         seeds = self._read_seeds()
         logs.event(_log, "reloaded", seeds=",".join(seeds))
         assert self._runner is not None
@@ -179,24 +181,26 @@
         await self._failed.wait()
 
     def _make_node(self, restored: replica_types.Restored) -> coordinator.Coordinator:
-        given = self._given
-        founders = given.seeds if given.may_found and given.replica_id in given.seeds else ()
-        part = replica.Replica(
-            replica_id=given.replica_id,
+        settings = self._settings
+        founders = (
+            settings.seeds if settings.may_found and settings.replica_id in settings.seeds else ()
+        )
+        log_replica = replica.Replica(
+            replica_id=settings.replica_id,
             initial_voters=replica_types.Voters(founders),
             restored=restored,
             random=random.SystemRandom(),
             options=REPLICA_OPTIONS,
         )
         return coordinator.Coordinator(
-            replica_id=given.replica_id,
+            replica_id=settings.replica_id,
             boot=random.SystemRandom().getrandbits(48) + 1,
-            part=part,
-            seeds=given.seeds,
-            announce_period_s=given.announce_period_s,
-            ttl_s=given.directory_ttl_s,
-            decode=self._speaks.decode_routing,
-            duties=given.duties,
+            log_replica=log_replica,
+            seeds=settings.seeds,
+            announce_period_s=settings.announce_period_s,
+            ttl_s=settings.directory_ttl_s,
+            decode=self._api_format.decode_routing,
+            duties=settings.duties,
         )
 
     async def _receive(self) -> None:
@@ -211,14 +215,14 @@
             case node.Persist() | replica_types.SaveSnapshot():
                 await self._disk.write(action)
             case coordinator_types.OperationDone(operation_id, reply):
-                waiting = self._waiting_by_operation.get(operation_id)
-                if waiting is not None:
-                    await waiting.put(reply)
+                replies = self._replies_by_operation.get(operation_id)
+                if replies is not None:
+                    await replies.put(reply)
             case duty_types.CallPlatform():
                 assert self._platform is not None
                 await self._platform.call(action)
             case coordinator_types.ConnectReplica(replica_id):
-                self._link.connect(replica_id, f"tcp://{replica_id}:{self._given.link_port}")
+                self._link.connect(replica_id, f"tcp://{replica_id}:{self._settings.link_port}")
             case coordinator_types.LogEvent(event, fields):
                 self._metrics.count_event(event)
                 if "waited_ms" in fields:
@@ -228,18 +232,18 @@
     def _may_act(self, fence: int) -> bool:
         assert self._node is not None
         lease = self._node.duties.lease
-        return lease.fence == fence and lease.may_act(suspended_clock())
+        return lease.fence == fence and lease.may_act(boottime_clock())
 
-    async def _on_platform_called(self, ended: duty_types.PlatformCalled) -> None:
+    async def _on_platform_called(self, call_result: duty_types.PlatformCalled) -> None:
         assert self._runner is not None
-        await self._runner.post(ended)
+        await self._runner.post(call_result)
 
-    async def _tell_wall_time(self) -> None:
-        """Tell the node the time of day, which jumps, again and again."""
+    async def _post_wall_time(self) -> None:
+        """Post the wall-clock time, which may jump, to the state machine periodically."""
         assert self._runner is not None
         while True:
-            await self._runner.post(coordinator_types.WallTime(time.time(), suspended_clock()))
-            await curio.sleep(WALL_PERIOD_S)
+            await self._runner.post(coordinator_types.WallTime(time.time(), boottime_clock()))
+            await curio.sleep(WALL_TIME_PERIOD_S)
 
     async def _on_synced(self, event: node.Synced) -> None:
         assert self._runner is not None
@@ -251,37 +255,37 @@
         await self._failed.set()
 
     async def _serve(self, exchange: http_server.Exchange) -> None:
-        """Answer one operation of an operator, an upstream or a caller."""
-        began_at = time.monotonic()
+        """Handle one HTTP request of an operator, an upstream or a caller."""
+        started_at = time.monotonic()
         head = exchange.head
         body = await exchange.read_body()
         try:
-            operation = self._speaks.decode(head.method, head.path, head.query, body)
+            operation = self._api_format.decode(head.method, head.path, head.query, body)
             if isinstance(operation, coordinator_types.PutRouting):
-                routing_check.require_valid(self._speaks.decode_routing(body))
+                routing_check.require_valid(self._api_format.decode_routing(body))
         except errors.MedlarError as error:
             await self._refuse(exchange, error)
             return
-        reply = await self._decide(operation)
-        answer = self._speaks.encode(reply, head.target)
+        reply = await self._execute(operation)
+        answer = self._api_format.encode(reply, head.target)
         self._log_operation(operation, reply, answer.status)
-        took_s = time.monotonic() - began_at
+        took_s = time.monotonic() - started_at
         self._metrics.count_operation(type(operation).__name__, answer.status, took_s)
         await exchange.respond(answer.status, answer.headers, answer.body)
 
-    async def _decide(self, operation: coordinator_types.Operation) -> coordinator_types.Reply:
+    async def _execute(self, operation: coordinator_types.Operation) -> coordinator_types.Reply:
         assert self._runner is not None
         self._operations += 1
         operation_id = self._operations
-        waiting: curio.Queue = curio.Queue()
-        self._waiting_by_operation[operation_id] = waiting
+        replies: curio.Queue = curio.Queue()
+        self._replies_by_operation[operation_id] = replies
         try:
             await self._runner.post(coordinator_types.OperationReceived(operation_id, operation))
-            return await curio.timeout_after(OPERATION_LIMIT_S, waiting.get)
+            return await curio.timeout_after(OPERATION_TIMEOUT_S, replies.get)
         except curio.TaskTimeout:
-            return coordinator_types.Unavailable("The operation took too long.")
+            return coordinator_types.Unavailable("The operation timed out.")
         finally:
-            del self._waiting_by_operation[operation_id]
+            del self._replies_by_operation[operation_id]
 
     async def _refuse(self, exchange: http_server.Exchange, error: errors.MedlarError) -> None:
         status = error.status if isinstance(error, errors.RequestRefusedError) else 400
@@ -292,7 +296,7 @@
         await exchange.respond(status, headers, _http_messages.error_body(error, status))
 
     async def _serve_health(self, exchange: http_server.Exchange) -> None:
-        """Answer whether this replica knows a leader, or with the metrics."""
+        """Serve the health check, which passes while a leader is known, and the metrics."""
         if exchange.head.path == process_metrics.PATH:
             await self._metrics.process.respond(exchange)
             return
@@ -300,8 +304,8 @@
         body = b"ready\n" if is_ready else b"not ready\n"
         await exchange.respond(200 if is_ready else 503, {"Content-Type": "text/plain"}, body)
 
-    def _further_servers(self) -> tuple[http_server.HttpServer, ...]:
-        """Return the servers besides the one for operators and upstreams."""
+    def _optional_servers(self) -> tuple[http_server.HttpServer, ...]:
+        """Return the servers other than the one for operators and upstreams."""
         return tuple(server for server in (self._directory, self._health) if server is not None)
 
     def _gauges(self) -> dict[str, float]:
@@ -314,7 +318,7 @@
         reply: coordinator_types.Reply,
         status: int,
     ) -> None:
-        """Log operators' operations; those of upstreams and callers are counted in their own."""
+        """Log operations of operators and leaves of upstreams; others are only counted."""
         match operation:
             case coordinator_types.PutRouting(version):
                 name = type(reply).__name__
@@ -325,13 +329,13 @@
                 logs.event(_log, "upstream_leave", upstream=upstream_id, status=status)
 
 
-def suspended_clock() -> float:
-    """Return the time in seconds of a clock that counts while the machine is suspended."""
+def boottime_clock() -> float:
+    """Return the time in seconds of a clock that advances while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 async def run_until_stopped(program: CoordinatorProgram) -> None:
-    """Run the program until a signal asks it to stop; a hang-up reloads the settings."""
+    """Run the program until a stop signal; SIGHUP reloads the settings."""
     signals = _stop_signal.StopSignal((*_stop_signal.STOP_SIGNALS, signal.SIGHUP))
     signals.start()
     with contextlib.closing(signals):
--- a/src/medlarfork/coordination/coordinator_settings.py
+++ b/src/medlarfork/coordination/coordinator_settings.py
@@ -1,4 +1,4 @@
-"""Define the settings of a coordinator."""
+"""Settings of a coordinator."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoordinatorSettings:
-    """Hold the settings of one replica.
+    """Settings of one replica.
 
     Attributes:
-        replica_id: Its IP number, by which other processes know and reach it.
+        replica_id: Its IP address, which identifies it to other processes.
         serve: ``IP:PORT`` for operators and upstreams.
-        directory: ``IP:PORT`` for callers that ask for entry hosts; empty for none.
+        directory: ``IP:PORT`` for callers that look up entry hosts; empty for none.
         health: ``IP:PORT`` for health checks and metrics; empty for none.
-        link_port: Port of every replica's link.
-        seeds: Replicas to start from.
-        may_found: Whether the seeds found a log if all their disks are empty: only at the very
-            first start of a deployment.
-        data_folder: Where the log is kept.
+        link_port: Port of the links of all replicas.
+        seeds: Replicas to contact first.
+        may_found: Whether the seeds bootstrap a new log if all their disks are empty; set it only
+            for the very first start of a deployment.
+        data_folder: Folder of the replicated log.
         announce_period_s: How often upstreams announce themselves, in seconds.
-        directory_ttl_s: How long callers keep an answer of the directory, in seconds.
-        log_level: Lowest level that is logged.
-        duties: Calls to a platform that one replica has to make.
+        directory_ttl_s: How long callers cache an answer of the directory, in seconds.
+        log_level: Minimum level that is logged.
+        duties: Singleton duties: platform calls that exactly one replica makes.
     """
 
     replica_id: str
--- a/src/medlarfork/coordination/coordinator_types.py
+++ b/src/medlarfork/coordination/coordinator_types.py
@@ -1,4 +1,4 @@
-"""Define the operations, replies, events and actions of a coordinator."""
+"""Operations, replies, events and actions of a coordinator."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutRouting:
-    """Operation: put a checked version of the routing in force, if it is the highest yet."""
+    """Operation: put a validated version of the routing in force, if it is the highest so far."""
 
     version: int
     body: bytes
@@ -32,33 +32,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Operation: an upstream leaves for good."""
+    """Operation: an upstream leaves permanently."""
 
     upstream_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FindEntries:
-    """Operation: a caller in a zone asks which entry hosts to use."""
+    """Operation: a caller in a zone looks up entry hosts."""
 
     zone: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListCrashCases:
-    """Operation: list the requests under which several upstreams ended."""
+    """Operation: list the requests that crashed several upstreams."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LiftCrashCase:
-    """Operation: let a request run again under which upstreams ended."""
+    """Operation: release a crash-inducing request from quarantine."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListDuties:
-    """Operation: tell who has the singleton duties, and what is done of them."""
+    """Operation: return the holder and the state of the singleton duties."""
 
 
 Operation = (
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """Reply: done, and durable where that was asked for."""
+    """Reply: done, and durable where the operation requires it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Reply: not now; the same operation may be sent again, here or elsewhere."""
+    """Reply: temporarily unavailable; the operation may be retried, here or at another replica."""
 
     why: str
 
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntriesFound:
-    """Reply: entry hosts to use, and for how long to keep this answer, in seconds."""
+    """Reply: entry hosts to use, and how long to cache this answer, in seconds."""
 
     addresses: tuple[str, ...]
     ttl_s: float
@@ -110,14 +110,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashCasesFound:
-    """Reply: the requests under which several upstreams ended."""
+    """Reply: the requests that crashed several upstreams."""
 
     cases: tuple[crash_messages.CrashCase, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageWindow:
-    """Hold one window of usage: how many requests began in it, and whether that is reported."""
+    """One usage window: the number of requests started in it, and whether it was reported."""
 
     window: int
     requests: int
@@ -129,12 +129,12 @@
     """Reply: what a replica knows of the singleton duties.
 
     Attributes:
-        holder: Who took the duties last, as the log says: a replica and its start.
-        fence: The fence of that holder.
-        is_holder: Whether the replica that answers may act now.
-        usage: The windows whose counts are fixed, the newest last.
-        calls: Calls to the platform that have not ended.
-        needs: Engines that services were last found to need, where this replica orders them.
+        holder: Last holder of the duties according to the log: a replica and its boot id.
+        fence: The fencing token of that holder.
+        is_holder: Whether the replying replica may act now.
+        usage: The windows whose counts are fixed, newest last.
+        calls: Calls to the platform in progress.
+        needs: Engines that services needed at the last evaluation, if this replica orders them.
     """
 
     holder: str
@@ -152,7 +152,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OperationReceived:
-    """Event: an operation came in; ``operation_id`` is the receiver's own."""
+    """Event: an operation was received; ``operation_id`` is assigned by the receiver."""
 
     operation_id: int
     operation: Operation
@@ -160,14 +160,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SeedsChanged:
-    """Event: the settings name other replicas to start from."""
+    """Event: the list of seeds in the settings changed."""
 
     seeds: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WallTime:
-    """Event: the host's time of day, in Unix seconds, at a time of the coordinator's clock."""
+    """Event: the host's wall-clock time, in Unix seconds, at a time of the coordinator's clock."""
 
     wall_s: float
     at: float
@@ -175,7 +175,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OperationDone:
-    """Action: answer an operation."""
+    """Action: reply to an operation."""
 
     operation_id: int
     reply: Reply
@@ -183,14 +183,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectReplica:
-    """Action: open a link to another replica, if there is none."""
+    """Action: connect to another replica, if not connected."""
 
     replica_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Action: log what changed in the coordinator's beliefs; ``fields`` are its inputs."""
+    """Action: log a change of the known state; ``fields`` are its inputs."""
 
     event: str
     fields: dict[str, Any]
--- a/src/medlarfork/coordination/decision_log.py
+++ b/src/medlarfork/coordination/decision_log.py
@@ -1,4 +1,4 @@
-"""Describe the decisions of placement for the log, each with what it rests on."""
+"""Log events of placement decisions, with the inputs of each decision."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def log_event(answer: placement_decision.Decision) -> coordinator_types.LogEvent:
-    """Return the log line of a decision."""
+    """Return the log event of a decision."""
     match answer.message:
         case placement_messages.Placed(ticket_id, upstream_id):
             fields = {
                 "ticket": ticket_id,
                 "upstream": upstream_id,
-                **_grounds(answer.decision_inputs),
+                **_input_fields(answer.decision_inputs),
             }
             return coordinator_types.LogEvent("placed", fields)
         case placement_messages.PlaceRefused(ticket_id, retry_after_ms, why):
@@ -28,20 +28,20 @@
             return coordinator_types.LogEvent("placement_queued", {"ticket": ticket_id})
 
 
-def _grounds(decision_inputs: placement_decision.DecisionInputs | None) -> dict[str, Any]:
-    if decision_inputs is None:
+def _input_fields(inputs: placement_decision.DecisionInputs | None) -> dict[str, Any]:
+    if inputs is None:
         return {}
     return {
-        "waited_ms": round(decision_inputs.waited_ms),
-        "backlog_ms": round(decision_inputs.cost.backlog_ms),
-        "read_ms": round(decision_inputs.cost.prefill_ms),
-        "read_tokens": decision_inputs.cost.prefill_tokens,
-        "again_tokens": decision_inputs.cost.recomputed_tokens or None,
-        "harm": round(decision_inputs.cost.harm, 2),
-        "cost": round(decision_inputs.cost.total, 3),
-        "fetch_from": decision_inputs.cost.fetch_from or None,
-        "running": decision_inputs.running,
-        "candidates": decision_inputs.candidates,
-        "tokens_per_ms": round(decision_inputs.tokens_per_ms, 1),
-        "pause_ms": round(decision_inputs.max_gap_ms),
+        "waited_ms": round(inputs.waited_ms),
+        "backlog_ms": round(inputs.cost.backlog_ms),
+        "read_ms": round(inputs.cost.prefill_ms),
+        "read_tokens": inputs.cost.prefill_tokens,
+        "again_tokens": inputs.cost.recomputed_tokens or None,
+        "harm": round(inputs.cost.harm, 2),
+        "cost": round(inputs.cost.total, 3),
+        "fetch_from": inputs.cost.fetch_from or None,
+        "running": inputs.running,
+        "candidates": inputs.candidates,
+        "tokens_per_ms": round(inputs.tokens_per_ms, 1),
+        "pause_ms": round(inputs.max_gap_ms),
     }
--- a/src/medlarfork/coordination/duty_manager.py
+++ b/src/medlarfork/coordination/duty_manager.py
@@ -1,7 +1,8 @@
-"""Carry out the singleton duties of a deployment: one replica at a time, the one that leads; pure.
+"""Singleton duties of a deployment, carried out by one replica at a time: the leader.
 
-The lease that the leader takes in the log says who may act, and its fence tells the platform whose
-calls are outdated. Calls are made outside; a call under way never keeps anything else waiting.
+The leader takes a lease in the log, which decides who may act; its fencing token lets the platform
+reject outdated calls. Calls are executed by the caller of this module; a call in progress blocks
+nothing else. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -27,23 +28,24 @@
 from medlarfork.routes import routing
 
 LEASE_NAME = "duties"
-"""Name of the lease in the log; one for all duties, since one replica has them all."""
+"""Name of the lease in the log; all duties share one, since one replica has them all."""
 
 LEASE_MARGIN = 1.1
-"""The lease as a multiple of the time in which no two holders may take turns."""
+"""Lease duration as a multiple of the configured time in which no two holders may alternate."""
 
 RENEW_SHARE = 0.3
-"""Time between renewals as a share of the lease: two may fail before it ends."""
+"""Renewal interval as a share of the lease: two renewals may fail before it expires."""
 
 RATE_SHARE = 0.5
-"""Share of the platform's rate that is used; a holder before may have used the rest."""
+"""Share of the platform's rate limit that is used; the previous holder may have used the rest."""
 
 ENGINES_PERIOD_S = 0.25
-"""How often the number of engines is looked at, in seconds: a small part of an engine's start."""
+"""Interval at which the number of engines is re-evaluated, in seconds: a fraction of an engine's
+start-up time."""
 
 
 class DutyManager:
-    """Hold one replica's part in the duties; the time is handed in."""
+    """State of the duties on one replica."""
 
     def __init__(
         self,
@@ -55,10 +57,10 @@
         """Start without the lease.
 
         Args:
-            replica_id: Names this replica.
-            boot: Differs at every start of it.
+            replica_id: Identifies this replica.
+            boot: Identifier that is unique to each start of it.
             settings: The deployment's duties.
-            log: What the replicated log holds of them.
+            log: State of the duties in the replicated log.
         """
         self._replica_id = replica_id
         self._holder = f"{replica_id}@{boot}"
@@ -77,19 +79,19 @@
         self._call_by_id: dict[int, duty_types.PlatformCall] = {}
         self._calls = 0
         self._proposals = 0
-        self._allowed = 0.0
-        self._allowed_at = 0.0
+        self._call_tokens = 0.0
+        self._refilled_at = 0.0
         self._engines_due = 0.0
         self._last_fence = -1
         self._started_at = math.inf
 
     @property
     def orders_engines(self) -> bool:
-        """Return whether this deployment has the duty of ordering engines."""
+        """Return whether this deployment orders engines."""
         return self._settings.has(duty_types.ENGINES)
 
     def gauges(self) -> dict[str, float]:
-        """Return the state by name, for the metrics; nothing where there are no duties."""
+        """Return the gauges by name, for the metrics; empty where there are no duties."""
         if self._settings.is_empty:
             return {}
         windows = self._log.usage_by_window.values()
@@ -99,7 +101,7 @@
             "usage_windows_unreported": sum(not item.is_reported for item in windows),
         }
 
-    def found(self, now: float) -> coordinator_types.DutiesFound:
+    def summary(self, now: float) -> coordinator_types.DutiesFound:
         """Return what this replica knows of the duties, for operators."""
         usage = tuple(
             coordinator_types.UsageWindow(
@@ -117,18 +119,18 @@
         )
 
     def use_services(self, services: tuple[routing.Service, ...]) -> None:
-        """Take what the routing says of services."""
+        """Apply the services of a new routing version."""
         self._engines.use_services(services)
 
     def on_role(self, *, leads: bool, now: float) -> tuple[Any, ...]:
-        """Take or leave the duties with the leadership of the log."""
+        """Acquire or give up the duties with the leadership of the log."""
         if self._settings.is_empty:
             return ()
         event = lease_types.LeadershipWon() if leads else lease_types.LeadershipLost()
         return self._run_lease(event, now)
 
-    def take(self, sender: str, message: Any, now: float) -> tuple[Any, ...]:
-        """Take a message about usage or load."""
+    def handle_message(self, sender: str, message: Any, now: float) -> tuple[Any, ...]:
+        """Handle a message about usage or load."""
         match message:
             case usage_messages.UsageTold():
                 return (node.Send(sender, self._ledger.take(sender, message, now)),)
@@ -137,7 +139,7 @@
         return ()
 
     def on_applied(self, applied: Any, now: float) -> tuple[Any, ...]:
-        """Take what came of a command of the duties in the log."""
+        """Handle the result of a duty command that the log applied."""
         match applied:
             case duty_state.LeaseApplied(command, reply) if command.holder == self._holder:
                 is_take = isinstance(command, lease_types.TakeLease)
@@ -146,33 +148,37 @@
             case duty_state.FixUsage(window, counts):
                 self._ledger.drop(window)
                 total = sum(counts.values())
-                return (_noted("usage_fixed", window=window, requests=total, accounts=len(counts)),)
+                return (
+                    _log_event("usage_fixed", window=window, requests=total, accounts=len(counts)),
+                )
         return ()
 
-    def on_call_end(self, ended: duty_types.PlatformCalled, now: float) -> tuple[Any, ...]:
-        """Take the end of a call."""
-        call = self._call_by_id.pop(ended.call_id, None)
+    def on_call_end(self, call_result: duty_types.PlatformCalled, now: float) -> tuple[Any, ...]:
+        """Handle the end of a platform call."""
+        call = self._call_by_id.pop(call_result.call_id, None)
         if call is None:
             return ()
-        actions: list[Any] = [_noted("platform_called", end=ended.end.value, **_fields(call))]
+        actions: list[Any] = [
+            _log_event("platform_called", end=call_result.end.value, **_call_fields(call))
+        ]
         match call:
             case duty_types.ReportUsage():
-                command = self._usage.on_call_end(call, ended.end, now)
+                command = self._usage.on_call_end(call, call_result.end, now)
                 if command is not None:
                     actions.append(self._propose(command))
             case duty_types.ScaleEngines():
-                self._engines.on_call_end(call, ended.end, now)
-        if _needs_higher_fence(call, ended.end):
+                self._engines.on_call_end(call, call_result.end, now)
+        if _needs_higher_fence(call, call_result.end):
             actions += self._run_lease(lease_types.RaiseFence(), now)
         return tuple(actions)
 
-    def on_time(
+    def on_tick(
         self,
         entry_ids: frozenset[str],
         present: tuple[upstream_types.Announcement, ...],
         now: float,
     ) -> tuple[Any, ...]:
-        """Do what is due: renew the lease, fix windows, and make calls."""
+        """Perform due work: renew the lease, fix usage windows, and make calls."""
         if self._settings.is_empty:
             return ()
         self._started_at = min(self._started_at, now)
@@ -183,47 +189,48 @@
         if self._settings.has(duty_types.USAGE):
             fixes = self._usage.windows_to_fix(self._ledger, entry_ids, now)
             actions += [self._propose(fix) for fix in fixes]
-            actions += self._report(now)
+            actions += self._report_usage(now)
         if self._settings.has(duty_types.ENGINES) and now >= self._engines_due:
             self._engines_due = now + ENGINES_PERIOD_S
-            actions += self._order(present, now)
+            actions += self._order_engines(present, now)
         return tuple(actions)
 
-    def _report(self, now: float) -> tuple[Any, ...]:
+    def _report_usage(self, now: float) -> tuple[Any, ...]:
         if any(isinstance(call, duty_types.ReportUsage) for call in self._call_by_id.values()):
             return ()
         report = self._usage.next_report(now)
-        return () if report is None or not self._may_call() else (self._call(report),)
+        return () if report is None or not self._can_call() else (self._start_call(report),)
 
-    def _order(
+    def _order_engines(
         self, present: tuple[upstream_types.Announcement, ...], now: float
     ) -> tuple[Any, ...]:
         actions: list[Any] = []
         orders = self._engines.next_requests(present, now)
         if orders:
             actions += [
-                _noted("engines_needed", **dataclasses.asdict(need)) for need in self._engines.needs
+                _log_event("engines_needed", **dataclasses.asdict(need))
+                for need in self._engines.needs
             ]
         for order in orders:
-            if self._may_call():
-                actions.append(self._call(order))
+            if self._can_call():
+                actions.append(self._start_call(order))
             else:
                 self._engines.on_call_end(order, duty_types.CallEnd.NOT_SENT, now)
         return tuple(actions)
 
-    def _call(self, call: duty_types.PlatformCall) -> duty_types.CallPlatform:
+    def _start_call(self, call: duty_types.PlatformCall) -> duty_types.CallPlatform:
         self._calls += 1
-        self._allowed -= 1.0
+        self._call_tokens -= 1.0
         self._call_by_id[self._calls] = call
         return duty_types.CallPlatform(self._calls, self.lease.fence, call)
 
-    def _may_call(self) -> bool:
-        return self._allowed >= 1.0
+    def _can_call(self) -> bool:
+        return self._call_tokens >= 1.0
 
     def _refill(self, now: float) -> None:
         rate = RATE_SHARE * self._settings.calls_per_s
-        self._allowed = min(rate, self._allowed + rate * (now - self._allowed_at))
-        self._allowed_at = now
+        self._call_tokens = min(rate, self._call_tokens + rate * (now - self._refilled_at))
+        self._refilled_at = now
 
     def _run_lease(self, event: Any, now: float) -> tuple[Any, ...]:
         actions: list[Any] = []
@@ -235,9 +242,9 @@
                     if fence != self._last_fence + 1:
                         self._engines.on_duty_acquired(self._started_at, now)
                     self._last_fence = fence
-                    actions.append(_noted("duties_taken", fence=fence))
+                    actions.append(_log_event("duties_taken", fence=fence))
                 case lease_types.Lost(fence):
-                    actions.append(_noted("duties_lost", fence=fence))
+                    actions.append(_log_event("duties_lost", fence=fence))
                 case _:
                     actions.append(action)
         return tuple(actions)
@@ -249,17 +256,17 @@
 
 
 def _needs_higher_fence(call: duty_types.PlatformCall, end: duty_types.CallEnd) -> bool:
-    """Say whether what was sent could still undo what is sent next with the same fence.
+    """Return whether an ended call could still undo a later one that has the same fence.
 
-    A report says the same whenever it is carried out; an order without an answer may be carried out
-    after a newer one. One that was refused may have met a higher fence.
+    A usage report has the same effect whenever it is executed; an order whose outcome is unknown
+    may be executed after a newer one. A call that was refused may have met a higher fence.
     """
     if end is duty_types.CallEnd.REFUSED:
         return True
     return end is duty_types.CallEnd.UNKNOWN and isinstance(call, duty_types.ScaleEngines)
 
 
-def _fields(call: duty_types.PlatformCall) -> dict[str, Any]:
+def _call_fields(call: duty_types.PlatformCall) -> dict[str, Any]:
     match call:
         case duty_types.ReportUsage(window, counts):
             return {"call": "usage", "window": window, "requests": sum(counts.values())}
@@ -273,5 +280,5 @@
             }
 
 
-def _noted(event: str, **fields: Any) -> coordinator_types.LogEvent:
+def _log_event(event: str, **fields: Any) -> coordinator_types.LogEvent:
     return coordinator_types.LogEvent(event, fields)
--- a/src/medlarfork/coordination/entry_feed.py
+++ b/src/medlarfork/coordination/entry_feed.py
@@ -1,8 +1,8 @@
-"""Feed entry hosts with the routing and with changes of the view of the upstreams.
+"""Distribution of routing versions and upstream view changes to entry hosts.
 
-Each entry host tells with its status what it holds, so whatever is lost is sent again. Of the
-routing, only the newest version is sent, and the next one only after the last was taken or seems
-lost: a storm of changes then costs a slow link no more than it can carry.
+Each entry host confirms in its status what it holds, so lost messages are resent. Only the newest
+version of the routing is sent, and only after the previous one was confirmed or is presumed lost: a
+burst of changes costs a slow link no more than it can carry.
 """
 
 from __future__ import annotations
@@ -21,43 +21,44 @@
 )
 
 FOLLOWER_DELAY_S = 0.5
-"""How much later a replica that does not lead pushes what an entry host lacks: normally the
-leader has done it by then, and every push takes a share of the entry host's link."""
+"""Delay of a follower before it pushes what an entry host lacks, in seconds: normally the leader
+has pushed it by then, and every push takes a share of the entry host's link."""
 
 
 EMPTY_DELAY_S = 0.1
-"""The same for an entry host that has no routing at all, in seconds: it serves nobody until then,
-and it may not know the leader yet."""
+"""Delay of a follower for an entry host without any routing, in seconds: it serves nobody until
+then, and may not know the leader yet."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Fed:
-    """Remember what was sent to one entry host, and since when it lacks something."""
+class _SentState:
+    """What was sent to one entry host, and since when its routing has been outdated."""
 
     routing_version: int = 0
     routing_sent_at: float = -1e9
-    lacks_since: float = -1.0
-    whole_sent_at: float = -1e9
+    outdated_since: float = -1.0
+    view_sent_at: float = -1e9
 
 
 class EntryFeed:
-    """Decide what is sent to which entry host; pure.
+    """Decides what is sent to each entry host. Pure: no I/O, no clock.
 
-    Changes are confirmed with the entry hosts' status. Without waiting for that, each status that
-    crossed a change brought the whole view, 13 KB with 64 upstreams, from each replica.
+    A change is confirmed by a later status. A status that was sent before the change arrived must
+    not count as a loss: each would cause every replica to send the full view, 13 KB with 64
+    upstreams.
 
     Attributes:
-        period_s: How often entry hosts tell their status, in seconds.
+        period_s: Interval at which entry hosts send their status, in seconds.
     """
 
     def __init__(self, *, boot: int) -> None:
-        """Start with a number that tells this start of the replica from every other."""
+        """Start with ``boot``, which is unique to this start of the replica."""
         self.period_s = status_period.MIN_PERIOD_S
         self._boot = boot
         self._sequence = 0
         self._confirmable_sequence = 0
         self._pushed: collections.deque[tuple[float, int]] = collections.deque()
-        self._fed_by_id: dict[str, _Fed] = {}
+        self._sent_by_id: dict[str, _SentState] = {}
 
     @property
     def _confirm_s(self) -> float:
@@ -70,7 +71,7 @@
     def push_view(
         self, change: upstream_types.ViewChange, entry_ids: Iterable[str], now: float
     ) -> tuple[node.Send, ...]:
-        """Send a change of the view to all entry hosts at once."""
+        """Send a view change to all entry hosts."""
         if change.is_empty:
             return ()
         self._sequence += 1
@@ -78,27 +79,28 @@
         push = coordination_messages.ViewPush(self._boot, self._sequence, change)
         return tuple(node.Send(entry_id, push) for entry_id in entry_ids)
 
-    def complete_view(
+    def repair_view(
         self,
         entry_id: str,
         status: coordination_messages.EntryStatus,
-        whole: Callable[[], upstream_types.ViewChange],
+        full_view: Callable[[], upstream_types.ViewChange],
         now: float,
     ) -> tuple[node.Send, ...]:
-        """Send the whole view to an entry host that missed a change of it.
+        """Send the full view to an entry host that missed a change.
 
-        ``whole`` is called only then: hundreds of hosts tell their status, and most miss nothing.
+        ``full_view`` is only called then: hundreds of hosts send their status, and most miss
+        nothing.
         """
-        fed = self._fed_by_id.setdefault(entry_id, _Fed())
+        sent = self._sent_by_id.setdefault(entry_id, _SentState())
         while self._pushed and self._pushed[0][0] <= now - self._confirm_s:
             _, self._confirmable_sequence = self._pushed.popleft()
         is_current = (
             status.view_boot == self._boot and status.view_sequence >= self._confirmable_sequence
         )
-        if is_current or now < fed.whole_sent_at + self._resend_s:
+        if is_current or now < sent.view_sent_at + self._resend_s:
             return ()
-        fed.whole_sent_at = now
-        push = coordination_messages.ViewPush(self._boot, self._sequence, whole())
+        sent.view_sent_at = now
+        push = coordination_messages.ViewPush(self._boot, self._sequence, full_view())
         return (node.Send(entry_id, push),)
 
     def push_routing(
@@ -109,7 +111,7 @@
         leads: bool,
         now: float,
     ) -> tuple[Any, ...]:
-        """Send the newest routing to the entry hosts that lack it and are ready for it."""
+        """Send the newest routing to the entry hosts that are due for it."""
         sends: list[node.Send] = []
         for entry_id, status in status_by_id.items():
             if self._is_due(entry_id, status, current.version, leads=leads, now=now):
@@ -117,12 +119,12 @@
                 sends.append(node.Send(entry_id, push))
         return tuple(sends)
 
-    def forget_missing(self, entry_ids: Iterable[str]) -> None:
-        """Drop what is remembered of entry hosts that are not there any more."""
-        kept = set(entry_ids)
-        for entry_id in tuple(self._fed_by_id):
-            if entry_id not in kept:
-                del self._fed_by_id[entry_id]
+    def remove_missing(self, entry_ids: Iterable[str]) -> None:
+        """Remove the state of entry hosts that are not present any more."""
+        present = set(entry_ids)
+        for entry_id in tuple(self._sent_by_id):
+            if entry_id not in present:
+                del self._sent_by_id[entry_id]
 
     def _is_due(
         self,
@@ -133,18 +135,18 @@
         leads: bool,
         now: float,
     ) -> bool:
-        fed = self._fed_by_id.setdefault(entry_id, _Fed())
+        sent = self._sent_by_id.setdefault(entry_id, _SentState())
         if status.routing_version >= version:
-            fed.lacks_since = -1.0
+            sent.outdated_since = -1.0
             return False
-        if fed.lacks_since < 0:
-            fed.lacks_since = now
+        if sent.outdated_since < 0:
+            sent.outdated_since = now
         delay_s = FOLLOWER_DELAY_S if status.routing_version else EMPTY_DELAY_S
-        if not leads and now < fed.lacks_since + delay_s:
+        if not leads and now < sent.outdated_since + delay_s:
             return False
-        is_open = fed.routing_version > status.routing_version
-        if is_open and now < fed.routing_sent_at + self._resend_s:
+        is_in_flight = sent.routing_version > status.routing_version
+        if is_in_flight and now < sent.routing_sent_at + self._resend_s:
             return False
-        fed.routing_version = version
-        fed.routing_sent_at = now
+        sent.routing_version = version
+        sent.routing_sent_at = now
         return True
--- a/src/medlarfork/coordination/membership_manager.py
+++ b/src/medlarfork/coordination/membership_manager.py
@@ -1,4 +1,4 @@
-"""Find the other replicas, take new ones into the log, and let go of one that is gone for good."""
+"""Discovery of replicas, and automatic membership changes of the replicated log."""
 
 from __future__ import annotations
 
@@ -10,106 +10,108 @@
 from medlarfork.replica import replica, replica_types
 
 HELLO_PERIOD_S = 0.5
-"""How often replicas tell each other that they run, in seconds: a new one has then asked several
-times before it must have caught up."""
+"""Interval of hello messages between replicas, in seconds: a new replica has sent several before it
+has to have caught up."""
 
 STARTUP_HELLO_PERIOD_S = 0.1
-"""How often a replica that has just started asks the others for the upstreams, in seconds: links to
-processes that start with it come up within that time, and callers wait for what it learns."""
+"""Interval of hello messages of a replica that has just started and requests the upstreams from the
+others, in seconds: links to processes that start at the same time come up within it, and callers
+wait for the result."""
 
 STARTUP_S = 3.0
-"""How long it asks so often, in seconds; then with each hello."""
+"""How long the shorter interval applies after a start, in seconds."""
 
 CHANGE_PERIOD_S = 0.4
-"""Pause between requested changes of the membership, in seconds: a few round trips and syncs."""
+"""Minimum interval between requested membership changes, in seconds: a few round trips and
+syncs."""
 
 SILENCE_TIMEOUT_S = 3.0
-"""Silence after which a voter may be let go where that shrinks no majority's margin, in seconds:
-longer than a process needs to be started again."""
+"""Silence after which a voter may be removed if the group tolerates no fewer losses without it, in
+seconds: longer than a process restart."""
 
 
 MISSING_AFTER_S = 1.3
-"""Silence after which a replica counts as missed, in seconds: more than two of its hellos."""
+"""Silence after which a replica counts as missing, in seconds: more than two hello intervals."""
 
 MISSING_UNTIL_S = 15.0
-"""Silence after which it does not any more, in seconds: upstreams have long found another replica
-if it is down, and a cut that lasts so long is no passing one."""
+"""Silence after which a replica no longer counts as missing, in seconds: if it is down, upstreams
+have found another replica by then, and a partition of this length is not transient."""
 
 HEAL_GRACE_S = 2.5
-"""How long a replica that is heard again still counts as missed, in seconds: two periods in which
-upstreams announce themselves, until what it heard meanwhile has arrived. Without it replicas drop
-upstreams that announced themselves on the other side as soon as a cut is over."""
+"""How long a replica that is heard again still counts as missing, in seconds: two announcement
+periods, until the announcements that it received meanwhile have arrived. Without it replicas drop
+upstreams that announced themselves on the other side as soon as a partition heals."""
 
 FORGET_AFTER_S = 60.0
-"""Silence after which a replica that is no member is not looked for any more, in seconds."""
+"""Silence after which a replica that is not a member is forgotten, in seconds."""
 
 
 class MembershipManager:
-    """Decide whom to connect to, and on the leader who is a member; pure."""
+    """Decides which replicas to connect to and, on the leader, who is a member. Pure: no I/O."""
 
     def __init__(self, replica_id: str, seeds: tuple[str, ...]) -> None:
-        """Start with the replicas that the settings name."""
+        """Start with the replicas listed in the settings."""
         self._replica_id = replica_id
         self._heard_at_by_id: dict[str, float] = {}
         self._seeds = seeds
         self._known: dict[str, None] = dict.fromkeys(seeds)
-        self._told_by: set[str] = set()
+        self._received_from: set[str] = set()
         self._started_at = math.inf
         self._hello_due = 0.0
         self._change_due = 0.0
         self._changes = 0
-        self._leads_since: float | None = None
-        self._missed_at = -math.inf
+        self._leading_since: float | None = None
+        self._last_missing_at = -math.inf
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """Return all other replicas that are known."""
+        """Return all other known replicas."""
         return tuple(peer for peer in self._known if peer != self._replica_id)
 
-    def hear(self, sender: str, now: float) -> None:
-        """Note that a replica sent something."""
+    def record_contact(self, sender: str, now: float) -> None:
+        """Record that a replica sent a message."""
         self._heard_at_by_id[sender] = now
         self._known[sender] = None
 
-    def learn(self, replica_ids: tuple[str, ...]) -> None:
-        """Note replicas that another one, the log or the settings name."""
+    def add_known(self, replica_ids: tuple[str, ...]) -> None:
+        """Add replicas named by another replica, the log or the settings."""
         self._known.update(dict.fromkeys(replica_ids))
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Use the replicas that changed settings name, beside those that are known."""
+        """Replace the seeds after a change of the settings; known replicas stay."""
         self._seeds = seeds
-        self.learn(seeds)
+        self.add_known(seeds)
 
     def has_silent_peer(self, now: float) -> bool:
-        """Say whether another replica fell silent lately: upstreams may still be heard there.
+        """Return whether another replica fell silent recently and may still receive announcements.
 
-        Ask it often: how long ago one was missed is known from the times at which this was asked.
+        Call it frequently: the time at which a replica was last missing is only updated by calls.
         """
         if any(
             MISSING_AFTER_S < now - heard_at <= MISSING_UNTIL_S
             for heard_at in self._heard_at_by_id.values()
         ):
-            self._missed_at = now
-        return now - self._missed_at <= HEAL_GRACE_S
+            self._last_missing_at = now
+        return now - self._last_missing_at <= HEAL_GRACE_S
 
     def record_upstreams_received(self, sender: str) -> None:
-        """Note that another replica has told all the upstreams that it knew."""
-        self._told_by.add(sender)
+        """Record that another replica has sent all upstreams that it knew."""
+        self._received_from.add(sender)
 
-    def on_time(self, status: replica.ReplicaStatus, *, leads: bool, now: float) -> tuple[Any, ...]:
-        """Say hello, and on the leader ask for one change of the membership at a time."""
+    def on_tick(self, status: replica.ReplicaStatus, *, leads: bool, now: float) -> tuple[Any, ...]:
+        """Send due hellos and, on the leader, request at most one membership change at a time."""
         actions: list[Any] = []
         if not leads:
-            self._leads_since = None
-        elif self._leads_since is None:
-            self._leads_since = now
+            self._leading_since = None
+        elif self._leading_since is None:
+            self._leading_since = now
         self._started_at = min(self._started_at, now)
         if now >= self._hello_due:
-            self._forget_lost(status, now)
+            self._remove_lost(status, now)
             self._hello_due = now + self._hello_period_s(now)
             actions += self._hellos(status, now)
         if leads and status.voters is not None and now >= self._change_due:
-            change = self._change(status.voters, now)
+            change = self._next_change(status.voters, now)
             if change is not None:
                 self._change_due = now + CHANGE_PERIOD_S
                 actions.append(change)
@@ -117,7 +119,7 @@
 
     def _hellos(self, status: replica.ReplicaStatus, now: float) -> list[Any]:
         if status.voters is not None:
-            self.learn((*status.voters.voters, *status.voters.learners))
+            self.add_known((*status.voters.voters, *status.voters.learners))
         known = tuple(
             peer
             for peer in self._known
@@ -126,24 +128,27 @@
         )
         actions: list[Any] = []
         for peer in self.peers:
-            # Each is asked once: after a restart of all, each has heard other upstreams.
-            hello = coordination_messages.ReplicaHello(known, peer not in self._told_by)
+            # Every peer has to answer once: after a restart of all, each has heard different
+            # upstreams.
+            hello = coordination_messages.ReplicaHello(known, peer not in self._received_from)
             actions.append(coordinator_types.ConnectReplica(peer))
             actions.append(node.Send(peer, hello))
         return actions
 
     def _hello_period_s(self, now: float) -> float:
-        asks = now < self._started_at + STARTUP_S and not self._told_by.issuperset(self.peers)
-        return STARTUP_HELLO_PERIOD_S if asks else HELLO_PERIOD_S
+        is_starting = now < self._started_at + STARTUP_S and not self._received_from.issuperset(
+            self.peers
+        )
+        return STARTUP_HELLO_PERIOD_S if is_starting else HELLO_PERIOD_S
 
     def _is_silent(self, member: str, now: float) -> bool:
-        """Say whether a member is silent; a new leader first gives everyone time to speak."""
-        led_since = now if self._leads_since is None else self._leads_since
-        since = max(self._heard_at_by_id.get(member, -math.inf), led_since)
+        """Return whether a member is silent; a new leader first waits for everyone's messages."""
+        leading_since = now if self._leading_since is None else self._leading_since
+        since = max(self._heard_at_by_id.get(member, -math.inf), leading_since)
         return now - since > SILENCE_TIMEOUT_S
 
-    def _forget_lost(self, status: replica.ReplicaStatus, now: float) -> None:
-        """Stop looking for replicas that are neither members nor heard of nor named as seeds."""
+    def _remove_lost(self, status: replica.ReplicaStatus, now: float) -> None:
+        """Remove silent replicas that are neither members nor seeds."""
         voters = status.voters
         members = () if voters is None else (*voters.voters, *voters.learners)
         for peer in tuple(self._known):
@@ -154,13 +159,13 @@
                 del self._known[peer]
                 del self._heard_at_by_id[peer]
 
-    def _change(
+    def _next_change(
         self, voters: replica_types.Voters, now: float
     ) -> replica_types.ChangeVoters | None:
-        """Return the change that is due, if any.
+        """Return the membership change that is due, if any.
 
-        A voter that is silent is let go only where the number of voters is even: such a group
-        survives no more losses than one with a voter fewer, so its successor has then joined.
+        A silent voter is removed only while the number of voters is even: such a group tolerates no
+        more losses than one with a voter fewer, and it is even once a replacement has joined.
         """
         members = (*voters.voters, *voters.learners)
         self._changes += 1
--- a/src/medlarfork/coordination/operations_format.py
+++ b/src/medlarfork/coordination/operations_format.py
@@ -1,6 +1,6 @@
-"""Define how operations arrive over HTTP and how replies leave: the product's own format.
+"""HTTP format of operations and their replies, with the default API.
 
-A deployment whose operators and upstreams speak another format passes another ``OperationsFormat``.
+A deployment whose operators and upstreams use another format supplies its own ``OperationsFormat``.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from medlarfork.routes import routing, routing_format
 
 CRASH_CASES_PATH = "/v1/crash-cases"
-"""Where operators see and lift the requests under which upstreams ended."""
+"""Path at which operators list and lift crash cases."""
 
 DUTIES_PATH = "/v1/duties"
-"""Where operators see who has the singleton duties, and what is done of them."""
+"""Path at which operators read the holder and the state of the singleton duties."""
 
 _JSON = {"Content-Type": "application/json"}
 """Headers of every reply with a body."""
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpReply:
-    """Hold a reply as it goes out."""
+    """A reply to send over HTTP."""
 
     status: int
     headers: dict[str, str]
@@ -35,7 +35,7 @@
 
 
 class OperationsFormat(Protocol):
-    """Translate between HTTP and operations; it decides nothing."""
+    """Translates between HTTP and operations."""
 
     def decode(
         self, method: str, path: str, query: str, body: bytes
@@ -43,7 +43,7 @@
         """Return the operation.
 
         Raises:
-            errors.RequestRefusedError: There is no such operation, or it can't be read.
+            errors.RequestRefusedError: There is no such operation, or the request is invalid.
         """
         ...
 
@@ -51,25 +51,25 @@
         """Return a version of the routing.
 
         Raises:
-            errors.ConfigurationError: It can't be read in full.
+            errors.ConfigurationError: It can't be decoded completely.
         """
         ...
 
     def encode(self, reply: coordinator_types.Reply, target: str) -> HttpReply:
-        """Return how a reply goes out; ``target`` is what was asked for, with its query."""
+        """Return the HTTP reply; ``target`` is the path of the request with its query."""
         ...
 
 
 class OwnFormat:
-    """Speak the product's own paths and names.
+    """The default API.
 
-    ``PUT /v1/routing`` and ``GET /v1/routing`` for operators, ``PUT /v1/upstreams/ID`` and
-    ``DELETE /v1/upstreams/ID`` for upstreams, ``GET /v1/entries?zone=ZONE`` for callers,
-    ``GET /v1/crash-cases``, ``DELETE /v1/crash-cases/KEY`` and ``GET /v1/duties`` for operators.
+    ``PUT /v1/routing`` and ``GET /v1/routing`` for operators, ``PUT /v1/upstreams/ID`` and ``DELETE
+    /v1/upstreams/ID`` for upstreams, ``GET /v1/entries?zone=ZONE`` for callers, ``GET
+    /v1/crash-cases``, ``DELETE /v1/crash-cases/KEY`` and ``GET /v1/duties`` for operators.
     """
 
     def __init__(self, *, http_port: int) -> None:
-        """Use the port at which every replica serves operations."""
+        """Use the HTTP port at which every replica serves operations."""
         self._http_port = http_port
 
     def decode(
@@ -93,7 +93,7 @@
         if folder == CRASH_CASES_PATH and method == "DELETE":
             return coordinator_types.LiftCrashCase(upstream_id)
         if folder == "/v1/upstreams" and method == "PUT":
-            return coordinator_types.Announce(_announcement(upstream_id, body))
+            return coordinator_types.Announce(_decode_announcement(upstream_id, body))
         raise unknown_operation(method, path)
 
     def decode_routing(self, body: bytes) -> routing.Routing:
@@ -101,7 +101,7 @@
         return routing_format.decode(body)
 
     def encode(self, reply: coordinator_types.Reply, target: str) -> HttpReply:
-        """Return how a reply goes out (see ``OperationsFormat``)."""
+        """Return the HTTP reply (see ``OperationsFormat``)."""
         match reply:
             case coordinator_types.Accepted():
                 return HttpReply(200, _JSON, b"{}")
@@ -119,7 +119,7 @@
                 return unavailable(why)
 
 
-def _announcement(name: str, body: bytes) -> upstream_types.Announcement:
+def _decode_announcement(name: str, body: bytes) -> upstream_types.Announcement:
     try:
         announced = msgspec.json.decode(body, type=upstream_types.Announcement)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -132,29 +132,29 @@
 
 
 def checked_announcement(announcement: upstream_types.Announcement) -> upstream_types.Announcement:
-    """Return an announcement that names an upstream that could be used.
+    """Return the announcement if it is valid.
 
     Raises:
-        errors.RequestRefusedError: It does not, so it is as if it had not come.
+        errors.RequestRefusedError: It is invalid and has to be ignored.
     """
-    fault = upstream_types.invalid_reason(announcement)
-    if fault:
-        raise invalid_announcement(ValueError(fault))
+    reason = upstream_types.invalid_reason(announcement)
+    if reason:
+        raise invalid_announcement(ValueError(reason))
     return announcement
 
 
 def redirect_to_leader(leader_id: str, http_port: int, target: str) -> HttpReply:
-    """Return the reply that sends the caller to the leader."""
+    """Return the redirect to the leader."""
     return HttpReply(307, {"Location": f"http://{leader_id}:{http_port}{target}"})
 
 
 def unavailable(why: str) -> HttpReply:
-    """Return the reply that asks the caller to come again."""
+    """Return the reply that makes the caller retry."""
     return HttpReply(503, {**_JSON, "Retry-After": "0.2"}, msgspec.json.encode({"why": why}))
 
 
 def unknown_operation(method: str, path: str) -> errors.RequestRefusedError:
-    """Return the error for a request that is no operation."""
+    """Return the error for a request that matches no operation."""
     return errors.RequestRefusedError(
         f"There is no operation {method} {path[:100]}.",
         remedy="See docs/operators for the operations of a replica.",
@@ -164,9 +164,9 @@
 
 
 def invalid_announcement(cause: Exception) -> errors.RequestRefusedError:
-    """Return the error for an announcement that can't be read."""
+    """Return the error for an invalid announcement."""
     return errors.RequestRefusedError(
-        f"The announcement can't be read: {cause}.",
+        f"The announcement is invalid: {cause}.",
         remedy="Correct this and send it again.",
         code=errors.Code.BAD_REQUEST,
         status=400,
--- a/src/medlarfork/coordination/routing_state.py
+++ b/src/medlarfork/coordination/routing_state.py
@@ -1,11 +1,11 @@
-"""Keep the routing in the replicated log: the highest version that was ever accepted wins.
+"""Replicated state of a coordinator: routing, held requests and singleton duties.
 
-The operator chooses the numbers. A version that is not higher than the one held changes nothing,
-so that a repeated or late change, or other content under the same number, never takes effect.
+Operators assign version numbers, and the highest version ever accepted wins. A version that is not
+higher than the current one changes nothing, so a duplicate or late change, or other content under
+the same number, never takes effect.
 
-The log also keeps which requests are held since upstreams ended under them: after a restart of all
-processes each would else cost three upstreams once more. What singleton duties rest on is in it too
-(see ``duties.duty_log``).
+Crash-inducing requests that are held are in the log since, after a restart of all processes, each
+would otherwise crash three more upstreams. For the duties see ``duties.duty_log``.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from medlarfork.duties import duty_state
 
 _COMPRESSION_LEVEL = 1
-"""The fastest level: it holds up the leader for each change."""
+"""The fastest level: compression delays the leader at each change."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingVersion:
-    """Hold a version as it travels in the log, in snapshots and to entry hosts.
+    """A version of the routing in the log, in snapshots and on the way to entry hosts.
 
     Attributes:
-        version: The operator's number; 0 stands for none.
-        packed_body: The operator's body, compressed with zlib.
+        version: Version number assigned by the operator; 0 for none.
+        packed_body: The body that the operator sent, compressed with zlib.
     """
 
     version: int = 0
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldRequest:
-    """Hold a request that is not to run, and the upstreams that ended under it."""
+    """A request that must not run, and the upstreams that it crashed."""
 
     key: str
     upstream_ids: tuple[str, ...]
@@ -49,14 +49,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LiftedRequest:
-    """Name a request that is not held any more."""
+    """A request that is not held any more."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingSnapshot:
-    """Hold the whole state."""
+    """Snapshot of the complete state."""
 
     current: RoutingVersion
     held: tuple[HeldRequest, ...] = ()
@@ -64,7 +64,7 @@
 
 
 MAX_HELD = 1000
-"""Held requests that the log keeps, some 200 KB; the first ones give way."""
+"""Maximum held requests in the log, about 200 KB; the oldest are evicted."""
 
 _CODEC = codec.Codec(
     (RoutingVersion, HeldRequest, LiftedRequest, RoutingSnapshot, *duty_state.COMMANDS)
@@ -78,7 +78,7 @@
 
 
 def pack_held(change: HeldRequest | LiftedRequest) -> bytes:
-    """Return the log command that holds a request or lets it go."""
+    """Return the log command that holds or releases a request."""
     return _CODEC.pack(change)
 
 
@@ -88,12 +88,12 @@
 
 
 class RoutingState:
-    """Apply the log's commands.
+    """State to which the log's commands are applied.
 
     Attributes:
         current: The version in force.
         held_by_key: The requests that are held.
-        duties: What singleton duties rest on.
+        duties: State of the singleton duties.
     """
 
     def __init__(self) -> None:
@@ -103,23 +103,23 @@
         self.duties = duty_state.DutyState()
 
     def apply(self, command: bytes) -> Any:
-        """Apply a committed command and return it, or what came of it, if it changed anything."""
-        offered = _CODEC.unpack(command)
-        match offered:
+        """Apply a committed command; return it, or its result, or None if it changed nothing."""
+        decoded = _CODEC.unpack(command)
+        match decoded:
             case RoutingVersion(version):
                 if version <= self.current.version:
                     return None
-                self.current = offered
+                self.current = decoded
             case HeldRequest(key):
-                self.held_by_key[key] = offered
+                self.held_by_key[key] = decoded
                 if len(self.held_by_key) > MAX_HELD:
                     del self.held_by_key[next(iter(self.held_by_key))]
             case LiftedRequest(key):
                 if self.held_by_key.pop(key, None) is None:
                     return None
             case _:
-                return self.duties.apply(offered)
-        return offered
+                return self.duties.apply(decoded)
+        return decoded
 
     def snapshot(self) -> bytes:
         """Return the state for a snapshot."""
@@ -127,7 +127,7 @@
         return _CODEC.pack(RoutingSnapshot(self.current, held, self.duties.snapshot()))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by that of a snapshot, also of one from before requests were held."""
+        """Replace the state by a snapshot, which may be of a version without held requests."""
         match _CODEC.unpack(snapshot):
             case RoutingSnapshot(current, held, duties):
                 self.current = current
--- a/src/medlarfork/coordination/upstream_types.py
+++ b/src/medlarfork/coordination/upstream_types.py
@@ -1,4 +1,4 @@
-"""Define what upstreams announce of themselves, and what replicas and entry hosts keep of it."""
+"""Announcements of upstreams and changes of the view of them."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """Hold one announcement of one incarnation of an upstream.
+    """One announcement of one incarnation of an upstream.
 
     Attributes:
-        upstream_id: Names the incarnation (see ``incarnation_id``).
+        upstream_id: Identifies the incarnation (see ``incarnation_id``).
         service: The service that it belongs to.
         address: ``IP:PORT`` that it serves on.
         zone: The data centre that it runs in.
-        slots: Requests that it runs at once.
-        sequence: Grows with each announcement of the incarnation, so that late ones are seen.
-        is_leaving: Whether it takes no new request any more; final for an incarnation.
-        slow_for_ms: How much longer it works slowly after its start, in milliseconds.
-        name: What the upstream calls itself; empty if that is its ``upstream_id``.
-        born_ms: When it was started, in Unix milliseconds by its own clock; 0 if it does not say.
-        is_spot: Whether it is of the cheap kind that its platform may take back.
+        slots: Maximum concurrent requests.
+        sequence: Increases with each announcement of the incarnation, to detect late ones.
+        is_leaving: Whether it accepts no new requests any more; final for an incarnation.
+        slow_for_ms: Remaining time of its slow phase after a start, in milliseconds.
+        name: The upstream's own name; empty if it equals ``upstream_id``.
+        born_ms: Its start time, in Unix milliseconds by its own clock; 0 if unknown.
+        is_spot: Whether it is a spot instance, which its platform may reclaim.
     """
 
     upstream_id: str
@@ -38,14 +38,14 @@
 
     @property
     def own_name(self) -> str:
-        """Return what the upstream calls itself, by which it knows requests that are for it."""
+        """Return the name that the upstream uses for itself and recognises in requests."""
         return self.name or self.upstream_id
 
     def is_outdated_by(self, other: Announcement) -> bool:
-        """Say whether another announcement is of a later start at its address or of its name.
+        """Return whether another announcement is of a later start at its address or of its name.
 
-        Starts are compared by what both say of themselves; a name that says when it was started
-        can't have been started again without saying so.
+        The announced start times are compared. A name that has announced a start time always
+        announces one after a restart.
         """
         if self.own_name == other.own_name:
             return self.born_ms < other.born_ms
@@ -53,19 +53,19 @@
 
 
 def incarnation_id(name: str, born_ms: int) -> str:
-    """Return what names one start of an upstream, which may start again under its name."""
+    """Return the id of one start of an upstream, which may restart under the same name."""
     return f"{name}@{born_ms}" if born_ms else name
 
 
 MAX_SLOTS = 100_000
-"""Slots beyond which an announcement is a mistake: more than engines of any size run at once."""
+"""Slots above which an announcement is invalid: more than an engine of any size runs at once."""
 
 MAX_NAME_LENGTH = 200
-"""Characters of names beyond which an announcement is a mistake."""
+"""Length of names above which an announcement is invalid."""
 
 
 def invalid_reason(announcement: Announcement) -> str:
-    """Return why an announcement names no upstream that could be used; empty if it does."""
+    """Return why an announcement is invalid; empty if it is valid."""
     if not (
         0 < len(announcement.own_name) <= MAX_NAME_LENGTH and announcement.own_name.isprintable()
     ):
@@ -90,13 +90,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewChange:
-    """Tell what changed in a replica's view of the upstreams.
+    """A change of a replica's view of the upstreams.
 
     Attributes:
         present: Announcements of upstreams that may take requests.
-        left: Incarnations that left for good, or whose address another one took.
-        silent: Incarnations that this replica has not heard of lately; they may come back.
-        is_whole: Whether ``present`` is all that the replica knows.
+        left: Incarnations that left permanently, or were replaced at their address.
+        silent: Incarnations that this replica has not heard recently; they may return.
+        is_whole: Whether ``present`` is the full view of the replica.
     """
 
     present: tuple[Announcement, ...] = ()
--- a/src/medlarfork/coordination/upstream_view.py
+++ b/src/medlarfork/coordination/upstream_view.py
@@ -1,9 +1,9 @@
-"""Merge the views of several control replicas into the one that an entry host acts on.
+"""View of the upstreams on an entry host, merged from the views of the control replicas.
 
-An upstream may take requests while at least one replica lists it and none has seen it leave. So
-neither a replica that restarted, and knows few, nor one that is cut off hides upstreams, and an
-acknowledged leave that reached any replica in contact takes effect. Of two starts at one address or
-of one name the later one counts.
+An upstream may take requests while at least one replica lists it and none has seen it leave. So a
+replica that restarted and knows few upstreams, or one that is partitioned off, hides none, and an
+acknowledged leave that reached any connected replica takes effect. Of two incarnations with one
+address or name the later one counts.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from medlarfork.coordination import upstream_types
 
 MAX_LEFT = 10_000
-"""Incarnations that left and are remembered, the latest ones; a day's changes at full size."""
+"""Maximum remembered incarnations that left; a day's changes in the largest deployment."""
 
 
 class UpstreamView:
-    """Keep what each replica last said; pure."""
+    """Last known view of each replica. Pure: no I/O, no clock."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -25,17 +25,17 @@
 
     @property
     def by_id(self) -> dict[str, upstream_types.Announcement]:
-        """Return the upstreams that may take requests; another dictionary whenever it changes."""
+        """Return the upstreams that may take requests; a new dictionary after each change."""
         return self._by_id
 
     def apply(self, replica_id: str, change: upstream_types.ViewChange) -> tuple[str, ...]:
-        """Take a replica's change and return the incarnations that may not be used any more.
+        """Apply a replica's change and return the incarnations that may no longer be used.
 
-        What another replica told before changes nothing and costs little: at a start each of nine
-        tells the same of each upstream.
+        A change that another replica already reported has no effect and is cheap: at a start each
+        of nine replicas reports the same upstreams.
         """
         present = self._present_by_replica.setdefault(replica_id, {})
-        is_news = (
+        changes_view = (
             (change.is_whole and bool(present))
             or any(self._by_id.get(item.upstream_id) != item for item in change.present)
             or any(item in self._by_id for item in (*change.left, *change.silent))
@@ -50,10 +50,10 @@
             self._left[upstream_id] = None
         while len(self._left) > MAX_LEFT:
             del self._left[next(iter(self._left))]
-        return self._rebuild() if is_news else ()
+        return self._rebuild() if changes_view else ()
 
     def remove_replica(self, replica_id: str) -> tuple[str, ...]:
-        """Drop what a lost replica said, unless nothing else is known."""
+        """Remove the view of a lost replica, unless it is the only one."""
         if len(self._present_by_replica) > 1:
             self._present_by_replica.pop(replica_id, None)
         return self._rebuild()
@@ -73,16 +73,16 @@
 def _without_outdated(
     present_by_id: dict[str, upstream_types.Announcement],
 ) -> dict[str, upstream_types.Announcement]:
-    """Drop the starts that a later one took the place of: a replica may not have heard of it."""
-    latest_by_place: dict[tuple[str, str], upstream_types.Announcement] = {}
+    """Remove incarnations that a later one replaced: a replica may not have heard of it."""
+    latest_by_identity: dict[tuple[str, str], upstream_types.Announcement] = {}
     for item in present_by_id.values():
-        for place in (("address", item.address), ("name", item.own_name)):
-            latest = latest_by_place.get(place)
+        for identity in (("address", item.address), ("name", item.own_name)):
+            latest = latest_by_identity.get(identity)
             if latest is None or latest.is_outdated_by(item):
-                latest_by_place[place] = item
+                latest_by_identity[identity] = item
     return {
         upstream_id: item
         for upstream_id, item in present_by_id.items()
-        if not item.is_outdated_by(latest_by_place["address", item.address])
-        and not item.is_outdated_by(latest_by_place["name", item.own_name])
+        if not item.is_outdated_by(latest_by_identity["address", item.address])
+        and not item.is_outdated_by(latest_by_identity["name", item.own_name])
     }
--- a/src/medlarfork/duties/__init__.py
+++ b/src/medlarfork/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Singleton duties: calls to a deployment's platform that one replica at a time has to make."""
+"""Singleton duties: calls to a deployment's platform, made by one replica at a time."""
--- a/src/medlarfork/duties/duty_state.py
+++ b/src/medlarfork/duties/duty_state.py
@@ -1,7 +1,7 @@
-"""Keep in the replicated log what duties rest on: the lease, its fence, and the counts of usage.
+"""Replicated state of the duties: the lease with its fence, and the usage counts by window.
 
-The counts of a window are fixed before they are first sent, so that every holder, for ever, sends
-the same ones. Fences come from the log alone, so none is given twice.
+The counts of a window are fixed before they are first sent, so that every holder sends the same
+counts. Fences are assigned only by the log, so none is used twice.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from medlarfork.orders import lease_table, lease_types
 
 RETAINED_WINDOWS = 48
-"""Windows whose counts are kept: four minutes of 5 s windows, beyond which a platform that was away
-is not told any more."""
+"""Number of windows whose counts are kept: four minutes of 5 s windows. A platform that was
+unavailable for longer does not get the earlier counts."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FixUsage:
-    """Command: from now on these are the counts of a window; the first ones stay."""
+    """Command: fix the counts of a window; later commands for the same window have no effect."""
 
     window: int
     count_by_account: dict[str, int]
@@ -26,14 +26,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageReported:
-    """Command: the platform has a window's counts."""
+    """Command: record that the platform has received a window's counts."""
 
     window: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FixedWindow:
-    """Hold the counts of a window, and whether the platform has them."""
+    """Fixed counts of a window, and whether the platform has received them."""
 
     count_by_account: dict[str, int]
     is_reported: bool = False
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutySnapshot:
-    """Hold the whole state."""
+    """Complete state for a snapshot."""
 
     leases: bytes = b""
     usage_by_window: dict[int, FixedWindow] = dataclasses.field(default_factory=dict)
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseApplied:
-    """Tell that a lease command took its place in the log."""
+    """Result of a committed lease command."""
 
     command: lease_types.TakeLease | lease_types.RenewLease
     reply: lease_types.LeaseReply
@@ -61,37 +61,37 @@
     FixUsage,
     UsageReported,
 )
-"""Every command class, for the codec of the log."""
+"""All command classes, for the codec of the log."""
 
 
 class DutyState:
-    """Apply commands in log order; deterministic.
+    """Lease and usage windows, changed by commands in log order; deterministic.
 
     Attributes:
-        usage_by_window: The windows whose counts are fixed.
+        usage_by_window: Windows whose counts are fixed.
     """
 
     def __init__(self) -> None:
-        """Start without a holder and without windows."""
+        """Start empty."""
         self._leases = lease_table.LeaseTable()
         self.usage_by_window: dict[int, FixedWindow] = {}
 
     def fence(self, lease: str) -> int:
-        """Return the highest fence that was given for a lease."""
+        """Return the highest fence of a lease; 0 if it was never held."""
         return self._leases.fence(lease)
 
     def holder(self, lease: str) -> str:
-        """Return who took a lease last; empty if nobody ever did."""
+        """Return the last holder of a lease; empty if it was never held."""
         return self._leases.holder(lease)
 
     def apply(self, command: Any) -> Any:
-        """Apply a committed command and return what came of it; None if it changed nothing."""
+        """Apply a committed command and return its result; None if it had no effect."""
         match command:
             case lease_types.TakeLease() | lease_types.RenewLease():
                 return LeaseApplied(command, self._leases.apply_command(command))
             case FixUsage(window, counts) if self.may_fix(window):
                 self.usage_by_window[window] = FixedWindow(counts)
-                self._forget_oldest()
+                self._evict_oldest()
                 return command
             case UsageReported(window) if window in self.usage_by_window:
                 fixed = self.usage_by_window[window]
@@ -100,7 +100,7 @@
         return None
 
     def may_fix(self, window: int) -> bool:
-        """Return whether a window's counts are still open: neither fixed nor long past."""
+        """Return whether a window can still be fixed: neither fixed already nor evicted."""
         if window in self.usage_by_window:
             return False
         return window > max(self.usage_by_window, default=window) - RETAINED_WINDOWS
@@ -114,7 +114,7 @@
         self._leases.restore(snapshot.leases)
         self.usage_by_window = dict(snapshot.usage_by_window)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         oldest = max(self.usage_by_window) - RETAINED_WINDOWS
         for window in [window for window in self.usage_by_window if window <= oldest]:
             del self.usage_by_window[window]
--- a/src/medlarfork/duties/duty_types.py
+++ b/src/medlarfork/duties/duty_types.py
@@ -1,4 +1,4 @@
-"""Define the duties of a deployment, the calls that they make, and how calls end."""
+"""Duties of a deployment, their calls to the platform, and the results of calls."""
 
 from __future__ import annotations
 
@@ -8,26 +8,28 @@
 from medlarfork import errors
 
 USAGE = "usage"
-"""Names the duty of reporting what client accounts used."""
+"""Duty of reporting the usage of client accounts."""
 
 ENGINES = "engines"
-"""Names the duty of ordering engines."""
+"""Duty of scaling engines."""
 
 MIN_MARGIN = 1.0
-"""Smallest margin of engines: with fewer than its load keeps busy, a service falls behind."""
+"""Minimum engine margin: below it, a service has fewer engines than its load keeps busy, and its
+queue grows."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutySettings:
-    """Say which duties a deployment has, and how its platform is reached.
+    """Settings of a deployment's duties and of its platform.
 
     Attributes:
         address: ``IP:PORT`` of the platform; empty if the deployment has no duties.
         duties: Names of the duties, among ``USAGE`` and ``ENGINES``.
-        lease_s: Within this time the platform must not see two holders take turns, in seconds.
-        calls_per_s: Calls that the platform takes in a second, over all duties.
-        usage_window_s: Length of one window of usage, in seconds.
-        engine_margin: Engines held for each engine's worth of reading that is offered.
+        lease_s: Time in which the platform must not get calls of two holders alternately, in
+            seconds.
+        calls_per_s: Rate limit of the platform over all duties, in calls per second.
+        usage_window_s: Length of a usage window, in seconds.
+        engine_margin: Engines provisioned per engine that the offered load would keep busy.
     """
 
     address: str = ""
@@ -38,49 +40,49 @@
     engine_margin: float = 3.0
 
     def __post_init__(self) -> None:
-        """Check what can't work.
+        """Validate the settings.
 
         Raises:
-            errors.SettingsError: Something can't.
+            errors.SettingsError: A setting is invalid.
         """
         unknown = [duty for duty in self.duties if duty not in (USAGE, ENGINES)]
         if unknown:
             raise errors.SettingsError(
-                f"There is no duty {unknown[0]!r}.", remedy=f"Name {USAGE!r} or {ENGINES!r}."
+                f"Unknown duty {unknown[0]!r}.", remedy=f"Use {USAGE!r} or {ENGINES!r}."
             )
         if self.duties and not self.address:
             raise errors.SettingsError(
-                "Duties need the address of a platform.", remedy="Set address to its IP:PORT."
+                "Duties require the address of a platform.", remedy="Set address to its IP:PORT."
             )
         for name in ("lease_s", "calls_per_s", "usage_window_s"):
             if self.duties and getattr(self, name) <= 0:
                 raise errors.SettingsError(
-                    f"{name} of the duties is not above 0.",
-                    remedy=f"Set {name} as the platform does.",
+                    f"{name} of the duties must be greater than 0.",
+                    remedy=f"Set {name} to the value that the platform uses.",
                 )
         if self.engine_margin < MIN_MARGIN:
             raise errors.SettingsError(
-                f"engine_margin is under {MIN_MARGIN:g}.",
-                remedy="Hold at least as many engines as the load keeps busy.",
+                f"engine_margin must be at least {MIN_MARGIN:g}.",
+                remedy="Provision at least as many engines as the load keeps busy.",
             )
 
     @property
     def is_empty(self) -> bool:
-        """Return whether there is nothing to be done."""
+        """Return whether the deployment has no duties."""
         return not (self.address and self.duties)
 
     def has(self, duty: str) -> bool:
-        """Return whether a deployment has a duty."""
+        """Return whether the deployment has a duty."""
         return bool(self.address) and duty in self.duties
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportUsage:
-    """Tell the platform how many requests of each client account began in a window.
+    """Report to the platform how many requests of each client account started in a window.
 
     Attributes:
-        window: Number of the window; it begins this many windows after the start of 1970.
-        count_by_account: Requests that upstreams began to run.
+        window: Number of the window; it starts this many window lengths after the Unix epoch.
+        count_by_account: Requests that upstreams started to run.
     """
 
     window: int
@@ -89,13 +91,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScaleEngines:
-    """Ask the platform for a number of engines of one kind in a data centre.
+    """Set the number of engines of one kind in a data centre.
 
     Attributes:
-        service: The service.
-        zone: The data centre.
-        count: Engines to have there, those that run included.
-        is_spot: Whether they are of the cheap kind that may be taken back.
+        service: Name of the service.
+        zone: Name of the data centre.
+        count: Total number of engines there, including those that already run.
+        is_spot: Whether they are spot engines, which cost less but can be reclaimed.
     """
 
     service: str
@@ -108,17 +110,17 @@
 
 
 class CallEnd(enum.StrEnum):
-    """Say how a call to the platform ended."""
+    """Result of a call to the platform."""
 
     DONE = "done"
     REFUSED = "refused"
-    """A higher fence was seen, or there are no such engines now; nothing was done."""
+    """The platform has seen a higher fence, or has no such engines now; nothing was done."""
     THROTTLED = "throttled"
-    """Too many calls; nothing was done."""
+    """The platform's rate limit was exceeded; nothing was done."""
     NOT_SENT = "not_sent"
-    """Nothing left this host."""
+    """The call was not sent."""
     UNKNOWN = "unknown"
-    """No answer came: it may have been done, or may be done later."""
+    """There was no answer: the call may have been executed, or may still be."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -126,9 +128,9 @@
     """Action: make a call, if this replica may still act with its fence.
 
     Attributes:
-        call_id: Returned with its end.
-        fence: The fence of the lease under which it is made.
-        call: What is asked.
+        call_id: Repeated in ``PlatformCalled``.
+        fence: Fence of the lease under which the call is made.
+        call: The call.
     """
 
     call_id: int
@@ -138,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformCalled:
-    """Event: a call has ended."""
+    """Event: a call ended."""
 
     call_id: int
     end: CallEnd
--- a/src/medlarfork/duties/engine_autoscaler.py
+++ b/src/medlarfork/duties/engine_autoscaler.py
@@ -1,8 +1,8 @@
-"""Decide which order of engines is given to the platform next; pure.
+"""Engine autoscaler: decides the next scaling requests to the platform.
 
-The load that this answers: orders that are refused, lost or carried out late, engines that crash
-and come back by themselves, and data centres that have no engines to give for a while. An order
-names the whole number that is wanted, so giving it again does no harm.
+Designed for scaling requests that are refused, lost or executed late, engines that crash and
+restart by themselves, and data centres that temporarily have no engines available. A request sets
+the total number of engines of a group, so repeating it has no further effect.
 """
 
 from __future__ import annotations
@@ -16,36 +16,37 @@
 from medlarfork.routes import routing
 
 UNAVAILABLE_RETRY_S = 2.0
-"""How long a group of which none are to be had is not asked for again, in seconds."""
+"""Delay before the next request for a group that had no engines available, in seconds."""
 
 MISSING_RETRY_S = 1.5
-"""Time after which an order is given again if engines are missing, in seconds beyond a start."""
+"""Time after which a request is repeated if engines are missing, in seconds beyond the time that
+an engine takes to start."""
 
 STARTUP_SETTLE_S = 4.5
-"""Time after a replica's start until it counts engines, in seconds: by then each of those that run
-has announced itself."""
+"""Time after a replica's start before its autoscaler acts, in seconds: by then all running engines
+have announced themselves."""
 
-LOAD_REPORT_TIMEOUT_S = 3.0
-"""Time after the duty was taken by which replicas have told their load, in seconds."""
+LOAD_KNOWN_AFTER_S = 3.0
+"""Time after the duty was acquired by which all replicas have reported their load, in seconds."""
 
 UNKNOWN_LOAD_FACTOR = 2.0
-"""Engines held for each staying one that is found while nothing is known of the load, where cheap
-ones cost less than half: a burst may come before the first orders can follow it. Cheap ones that
-are found were ordered by the load that another holder knew."""
+"""Engines planned per on-demand engine that runs when the duty is acquired, until the load is known
+and if spot engines cost less than half: a burst may come before the first requests can react to it.
+Running spot engines count once, since a previous holder requested them for a load that it knew."""
 
 FAILED_RETRY_S = 0.5
-"""Pause of a group whose order failed otherwise, in seconds."""
+"""Delay before the next request for a group after any other failure, in seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Need:
-    """Hold what a service needs, and what it has.
+    """Engines that a service needs and has.
 
     Attributes:
-        service: The service.
-        peak: The highest load of the last while, in engines that are always busy.
-        wanted: Engines that it needs.
-        running: Engines that serve.
+        service: Name of the service.
+        peak: Highest recent load, in fully busy engines (see ``OfferedLoad.peak_engines``).
+        wanted: Number of engines that it needs.
+        running: Number of engines that are present.
     """
 
     service: str
@@ -55,155 +56,174 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Order:
-    """Hold what is known of the last order of a group.
+class _ScalingRequest:
+    """State of the last scaling request for a group.
 
     Attributes:
-        count: The engines that were ordered; None if nothing is sure.
-        at: When it ended, in seconds.
-        due: When the next one may be given, in seconds.
-        is_under_way: Whether it has not ended.
-        most_running: The most engines that were seen since it ended.
-        is_unavailable: Whether the group had none to give.
+        count: Number of engines requested; None if no request is known to have succeeded.
+        at: When the request ended, in seconds.
+        due: When the next request may be made, in seconds.
+        is_in_progress: Whether a request has been made and has not ended.
+        max_running: Maximum number of running engines seen since the request started or ended.
+        is_unavailable: Whether the platform had no engines of the group.
     """
 
     count: int | None = None
     at: float = -math.inf
     due: float = -math.inf
-    is_under_way: bool = False
-    most_running: int = 0
+    is_in_progress: bool = False
+    max_running: int = 0
     is_unavailable: bool = False
 
 
 class EngineAutoscaler:
-    """Follow the load of every service whose engines may be ordered."""
+    """Scales the engines of each service with its load.
+
+    Pure: no I/O, no clock.
+    """
 
     def __init__(self, margin: float) -> None:
         """Start without services.
 
         Args:
-            margin: Engines held for each engine's worth of work that is offered.
+            margin: Engines provisioned per engine that the offered load would keep busy.
         """
         self._margin = margin
-        self._scaled_by_name: dict[str, routing.Service] = {}
+        self._service_by_name: dict[str, routing.Service] = {}
         self._load_by_service: dict[str, offered_load.OfferedLoad] = {}
-        self._order_by_group: dict[tuple[str, engine_plan.Group], _Order] = {}
+        self._request_by_group: dict[tuple[str, engine_plan.Group], _ScalingRequest] = {}
         self._need_by_service: dict[str, Need] = {}
-        self._found_by_service: dict[str, collections.Counter[engine_plan.Group]] = {}
-        self._settled_at = math.inf
+        self._initial_by_service: dict[str, collections.Counter[engine_plan.Group]] = {}
+        self._ready_at = math.inf
 
     def use_services(self, services: tuple[routing.Service, ...]) -> None:
-        """Take what the routing says of services."""
-        self._scaled_by_name = {
+        """Use the services of the current routing configuration that can be scaled."""
+        self._service_by_name = {
             service.name: service
             for service in services
             if service.scaling is not None and service.scaling.zones and service.engine is not None
         }
 
-    def update_load(self, source: str, told: engine_messages.LoadTold, now: float) -> None:
-        """Take what a replica was asked to place."""
-        for load in told.loads:
+    def update_load(self, source: str, message: engine_messages.LoadTold, now: float) -> None:
+        """Add the load report of a replica."""
+        for load in message.loads:
             total = self._load_by_service.setdefault(load.service, offered_load.OfferedLoad())
-            total.take(source, told.boot, load, now)
+            total.update(source, message.boot, load, now)
 
     def on_duty_acquired(self, started_at: float, now: float) -> None:
-        """Take the duty of a replica that was started then: of orders nothing is known."""
-        self._order_by_group.clear()
-        self._found_by_service.clear()
-        self._settled_at = max(now, started_at + STARTUP_SETTLE_S)
+        """Start as the holder of the duty, without knowledge of earlier requests.
+
+        Args:
+            started_at: When this replica was started, in seconds.
+            now: The time in seconds.
+        """
+        self._request_by_group.clear()
+        self._initial_by_service.clear()
+        self._ready_at = max(now, started_at + STARTUP_SETTLE_S)
 
     def next_requests(
         self, present: tuple[upstream_types.Announcement, ...], now: float
     ) -> tuple[duty_types.ScaleEngines, ...]:
-        """Return the orders to be given now, those of more engines first."""
-        if now < self._settled_at:
+        """Return the requests that are due, those that add the most engines first."""
+        if now < self._ready_at:
             return ()
-        orders: list[tuple[int, duty_types.ScaleEngines]] = []
-        for service in self._scaled_by_name.values():
-            running = _running(service.name, present)
-            held = self._plan(service, running, now)
-            for group, count in held.items():
-                count = self._with_room(service, group, count, running)
-                if self._is_due(service, group, count, running[group], now):
-                    given = duty_types.ScaleEngines(service.name, group.zone, count, group.is_spot)
-                    orders.append((running[group] - count, given))
-        return tuple(order for _, order in sorted(orders, key=lambda item: item[0]))
+        requests: list[tuple[int, duty_types.ScaleEngines]] = []
+        for service in self._service_by_name.values():
+            running = _count_running(service.name, present)
+            counts = self._plan(service, running, now)
+            for group, count in counts.items():
+                count = self._limit_to_room(service, group, count, running)
+                if self._start_if_due(service, group, count, running[group], now):
+                    scale = duty_types.ScaleEngines(service.name, group.zone, count, group.is_spot)
+                    requests.append((running[group] - count, scale))
+        return tuple(request for _, request in sorted(requests, key=lambda item: item[0]))
 
     def on_call_end(
-        self, given: duty_types.ScaleEngines, end: duty_types.CallEnd, now: float
+        self, scale: duty_types.ScaleEngines, end: duty_types.CallEnd, now: float
     ) -> None:
-        """Take the end of an order."""
-        key = (given.service, engine_plan.Group(given.zone, given.is_spot))
-        order = self._order_by_group.get(key, _Order())
-        is_unavailable = order.is_unavailable
+        """Handle the end of a request."""
+        key = (scale.service, engine_plan.Group(scale.zone, scale.is_spot))
+        request = self._request_by_group.get(key, _ScalingRequest())
+        is_unavailable = request.is_unavailable
         match end:
             case duty_types.CallEnd.DONE:
                 due = now
-                is_unavailable = is_unavailable and given.count == 0
+                is_unavailable = is_unavailable and scale.count == 0
             case duty_types.CallEnd.REFUSED:
                 due = now + UNAVAILABLE_RETRY_S
                 is_unavailable = True
             case _:
                 due = now + FAILED_RETRY_S
-        count = given.count if end is duty_types.CallEnd.DONE else None
-        self._order_by_group[key] = _Order(count, now, due, is_unavailable=is_unavailable)
+        count = scale.count if end is duty_types.CallEnd.DONE else None
+        self._request_by_group[key] = _ScalingRequest(
+            count, now, due, is_unavailable=is_unavailable
+        )
 
     @property
     def needs(self) -> tuple[Need, ...]:
-        """Return what services were last found to need, for the log and the metrics."""
+        """Return the needs of services as last calculated, for the log and the metrics."""
         return tuple(self._need_by_service.values())
 
     def _plan(
         self, service: routing.Service, running: collections.Counter[engine_plan.Group], now: float
     ) -> dict[engine_plan.Group, int]:
-        """Return the engines to be held; those that are not to be had are asked for again."""
+        """Return the planned number of engines by group.
+
+        Groups that had no engines available keep their ideal number, so that they are requested
+        again.
+        """
         assert service.scaling is not None
-        wanted, urgent = self._needed(service, running, now)
-        order_by_group = {
-            group: order
-            for (name, group), order in self._order_by_group.items()
+        wanted, urgent = self._needed_engines(service, running, now)
+        request_by_group = {
+            group: request
+            for (name, group), request in self._request_by_group.items()
             if name == service.name
         }
-        coming = {
-            group: max(running[group], _coming(group, order_by_group.get(group), service, now))
-            for group in running.keys() | order_by_group.keys()
+        expected = {
+            group: max(
+                running[group],
+                _starting_on_demand(group, request_by_group.get(group), service, now),
+            )
+            for group in running.keys() | request_by_group.keys()
         }
         unavailable = frozenset(
-            group for group, order in order_by_group.items() if order.is_unavailable
+            group for group, request in request_by_group.items() if request.is_unavailable
         )
-        fleet = engine_plan.Fleet(coming, unavailable, urgent)
-        held = engine_plan.plan(service.scaling, wanted, fleet)
+        fleet = engine_plan.Fleet(expected, unavailable, urgent)
+        counts = engine_plan.plan(service.scaling, wanted, fleet)
         if unavailable:
             all_available = dataclasses.replace(fleet, unavailable=frozenset())
             ideal = engine_plan.plan(service.scaling, wanted, all_available)
             for group in unavailable:
-                staying = held[engine_plan.Group(group.zone, False)] if group.is_spot else 0
-                held[group] = min(ideal.get(group, 0), service.scaling.most - staying)
-        return held
+                on_demand = counts[engine_plan.Group(group.zone, False)] if group.is_spot else 0
+                counts[group] = min(ideal.get(group, 0), service.scaling.most - on_demand)
+        return counts
 
-    def _needed(
+    def _needed_engines(
         self, service: routing.Service, running: collections.Counter[engine_plan.Group], now: float
     ) -> tuple[int, int]:
-        """Return the engines that a service needs, by its peak and by its load now.
+        """Return the number of engines that a service needs for its peak and for its current load.
 
-        What was found there is taken for what it needs now until replicas have told their load,
-        and for its peak until one could have been seen.
+        The engines that run when the duty is acquired stand in for the current load until replicas
+        have reported theirs, and for the peak until one could have been observed.
         """
         assert service.scaling is not None and service.engine is not None
         load = self._load_by_service.setdefault(service.name, offered_load.OfferedLoad())
-        peak = load.peak(service.engine.slots, now)
+        peak = load.peak_engines(service.engine.slots, now)
         wanted = engine_plan.wanted_engines(peak, self._margin)
-        urgent = engine_plan.wanted_engines(load.engines(service.engine.slots, now), self._margin)
-        found = self._found_by_service.setdefault(service.name, running)
-        if now < self._settled_at + offered_load.PEAK_HOLD_S:
-            wanted = max(wanted, _with_spare(service.scaling, found))
-        if now < self._settled_at + LOAD_REPORT_TIMEOUT_S:
-            urgent = max(urgent, sum(found.values()))
+        urgent = engine_plan.wanted_engines(
+            load.busy_engines(service.engine.slots, now), self._margin
+        )
+        initial = self._initial_by_service.setdefault(service.name, running)
+        if now < self._ready_at + offered_load.PEAK_HOLD_S:
+            wanted = max(wanted, _engines_for_unknown_load(service.scaling, initial))
+        if now < self._ready_at + LOAD_KNOWN_AFTER_S:
+            urgent = max(urgent, sum(initial.values()))
         serving = sum(running.values())
         self._need_by_service[service.name] = Need(service.name, round(peak, 1), wanted, serving)
         return wanted, urgent
 
-    def _is_due(
+    def _start_if_due(
         self,
         service: routing.Service,
         group: engine_plan.Group,
@@ -211,41 +231,42 @@
         running: int,
         now: float,
     ) -> bool:
-        """Say whether a group's order is to be given now, and note that it is."""
+        """Return whether a group's request is due, and if so mark it as in progress."""
         assert service.scaling is not None
-        order = self._order_by_group.get((service.name, group), _Order())
-        is_missed = running < count and (
-            running < order.most_running
-            or now >= order.at + service.scaling.boot_s + MISSING_RETRY_S
+        request = self._request_by_group.get((service.name, group), _ScalingRequest())
+        is_missing_engines = running < count and (
+            running < request.max_running
+            or now >= request.at + service.scaling.boot_s + MISSING_RETRY_S
         )
-        may_be_given = not order.is_under_way and now >= order.due
-        is_due = may_be_given and (order.count != count or is_missed)
-        self._order_by_group[service.name, group] = dataclasses.replace(
-            order,
-            is_under_way=order.is_under_way or is_due,
-            most_running=running if is_due else max(order.most_running, running),
+        may_start = not request.is_in_progress and now >= request.due
+        is_due = may_start and (request.count != count or is_missing_engines)
+        self._request_by_group[service.name, group] = dataclasses.replace(
+            request,
+            is_in_progress=request.is_in_progress or is_due,
+            max_running=running if is_due else max(request.max_running, running),
         )
         return is_due
 
-    def _with_room(
+    def _limit_to_room(
         self,
         service: routing.Service,
         group: engine_plan.Group,
         count: int,
         running: collections.Counter[engine_plan.Group],
     ) -> int:
-        """Return how many engines there is room for while those of the other kind are there.
+        """Limit a count to the room that engines of the other kind leave in the data centre.
 
-        An order beyond that would be cut short, and not made up for when the others have gone.
+        The platform would cut a larger request short and not add the rest once the others are
+        gone.
         """
         assert service.scaling is not None
         other = dataclasses.replace(group, is_spot=not group.is_spot)
-        order = self._order_by_group.get((service.name, other))
-        others = running[other] if order is None or order.count is None else order.count
+        request = self._request_by_group.get((service.name, other))
+        others = running[other] if request is None or request.count is None else request.count
         return min(count, max(running[group], service.scaling.most - others))
 
 
-def _running(
+def _count_running(
     service: str, present: tuple[upstream_types.Announcement, ...]
 ) -> collections.Counter[engine_plan.Group]:
     return collections.Counter(
@@ -253,21 +274,23 @@
     )
 
 
-def _with_spare(scaling: routing.Scaling, found: collections.Counter[engine_plan.Group]) -> int:
-    """Return the engines that are held for those that were found while the load is not known."""
+def _engines_for_unknown_load(
+    scaling: routing.Scaling, initial: collections.Counter[engine_plan.Group]
+) -> int:
+    """Return the number of engines to plan, given those that run, until the load is known."""
     spare = UNKNOWN_LOAD_FACTOR if 0 < scaling.spot_price < 1 / UNKNOWN_LOAD_FACTOR else 1.0
-    engines = sum(count * (1.0 if group.is_spot else spare) for group, count in found.items())
+    engines = sum(count * (1.0 if group.is_spot else spare) for group, count in initial.items())
     return math.ceil(engines)
 
 
-def _coming(
-    group: engine_plan.Group, order: _Order | None, service: routing.Service, now: float
+def _starting_on_demand(
+    group: engine_plan.Group, request: _ScalingRequest | None, service: routing.Service, now: float
 ) -> int:
-    """Return the engines that stay and were ordered so lately that they may still be starting.
+    """Return the requested number of on-demand engines if they may still be starting, else 0.
 
-    Of cheap ones only those count that serve: until then, others hold their place.
+    Spot engines count only once they serve; until then on-demand engines take their place.
     """
     assert service.scaling is not None
-    if group.is_spot or order is None or order.count is None:
+    if group.is_spot or request is None or request.count is None:
         return 0
-    return order.count if now < order.at + service.scaling.boot_s + MISSING_RETRY_S else 0
+    return request.count if now < request.at + service.scaling.boot_s + MISSING_RETRY_S else 0
--- a/src/medlarfork/duties/engine_messages.py
+++ b/src/medlarfork/duties/engine_messages.py
@@ -1,4 +1,4 @@
-"""Define what replicas tell the leader of the load that engines have to carry."""
+"""Load reports of replicas to the leader, the input of engine scaling."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadTold:
-    """Tell the leader what a replica was asked for, several times a second.
+    """Offered load of a replica, reported to the leader several times per second.
 
     Attributes:
-        boot: Names the start of the replica, whose sums begin anew with each.
-        loads: The sums of each service with engines.
+        boot: Identifies the start of the replica; sums restart at zero with each.
+        loads: Sums for each service that has engines.
     """
 
     boot: int
@@ -21,4 +21,4 @@
 
 
 ENGINE_MESSAGES: tuple[type, ...] = (LoadTold,)
-"""Every message class of this module, for the codec of the links."""
+"""All message classes of this module, for the codec of the links."""
--- a/src/medlarfork/duties/engine_plan.py
+++ b/src/medlarfork/duties/engine_plan.py
@@ -1,9 +1,9 @@
-"""Decide how many engines of each kind a service holds in each data centre: pure arithmetic.
+"""Engine plan of a service: the number of spot and on-demand engines in each data centre.
 
-The load pattern: bursts of three times the usual load that last shorter than two starts of an
-engine, and cheap engines that are all taken back from a data centre at once with seconds of notice.
-So what a burst needs stands ready before it comes, in cheap engines spread over the data centres,
-and engines that stay are held where cheap ones are not to be had.
+Pure arithmetic. The expected load has bursts of three times the usual load that are shorter than
+two starts of an engine, and all spot engines of a data centre may be reclaimed at once with seconds
+of notice. So the capacity for a burst is provisioned in advance, in spot engines spread over the
+data centres, and on-demand engines are used where spot engines are unavailable.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from medlarfork.routes import routing
 
 SPOT_PROBE_ROOM = 1
-"""Engines that staying ones leave room for in each data centre, where there are cheap ones: to ask
-whether these are to be had again, there must be room for one."""
+"""Room that on-demand engines leave in each data centre if the service has spot engines: a request
+that probes whether spot engines are available again needs room for one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """Name the engines of one kind in one data centre."""
+    """Engines of one kind in one data centre."""
 
     zone: str
     is_spot: bool
@@ -28,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """Hold what a plan rests on.
+    """Current engines of a service, the input of a plan.
 
     Attributes:
-        running: Engines that serve, by group.
-        unavailable: Groups in which no more are to be had at the moment.
-        urgent: Engines that the load needs now, whatever it needed before.
+        running: Number of running engines by group.
+        unavailable: Groups in which no more engines are available now.
+        urgent: Number of engines that the current load needs, regardless of its peak.
     """
 
     running: dict[Group, int]
@@ -42,41 +42,42 @@
 
 
 def plan(scaling: routing.Scaling, wanted: int, fleet: Fleet) -> dict[Group, int]:
-    """Return the engines to be held, by group.
+    """Return the planned number of engines by group.
 
-    Cheap engines come first, evenly over the data centres, so that losing those of one leaves most.
-    Where they are not to be had, or do not serve yet, engines that stay fill the place; each data
-    centre keeps the least number of these, which nobody takes back.
+    Spot engines come first, spread evenly over the data centres, so that most remain if those of
+    one data centre are lost. Where they are unavailable or do not serve yet, on-demand engines
+    take their place; each data centre keeps the minimum number of on-demand engines, which are
+    never reclaimed.
 
     Args:
-        scaling: What may be ordered, and its prices.
-        wanted: Engines that the load needs.
-        fleet: What there is.
+        scaling: Limits and prices.
+        wanted: Number of engines that the load needs.
+        fleet: Current engines.
     """
     zones = [item.zone for item in scaling.zones]
-    held: dict[Group, int] = {Group(zone, False): scaling.least for zone in zones}
+    counts: dict[Group, int] = {Group(zone, False): scaling.least for zone in zones}
     wanted = max(wanted, scaling.least * len(zones))
     if scaling.has_spot:
-        room = _room_for_cheap(scaling, fleet)
-        _spread_cheap(held, room, wanted - sum(held.values()))
-    cheap = {group: count for group, count in held.items() if group.is_spot}
-    serving = sum(min(count, fleet.running.get(group, 0)) for group, count in cheap.items())
+        room = _room_for_spot(scaling, fleet)
+        _spread_spot(counts, room, wanted - sum(counts.values()))
+    spot = {group: count for group, count in counts.items() if group.is_spot}
+    serving = sum(min(count, fleet.running.get(group, 0)) for group, count in spot.items())
     needed = wanted - scaling.least * len(zones)
-    # Those that run are kept until cheap ones serve; new ones, which cost several times as much,
-    # are started only for what the load needs now and cheap ones can't give at all.
-    kept = _add_staying(held, scaling, needed - serving, fleet.running)
-    pressing = (
+    # Running on-demand engines are kept until spot engines serve. New ones, which cost several
+    # times as much, are started only for the current load that spot engines can't take at all.
+    kept = _add_on_demand(counts, scaling, needed - serving, fleet.running)
+    needed_now = (
         min(needed, fleet.urgent - scaling.least * len(zones)) if scaling.has_spot else needed
     )
-    _add_staying(held, scaling, pressing - sum(cheap.values()) - kept)
-    return held
+    _add_on_demand(counts, scaling, needed_now - sum(spot.values()) - kept)
+    return counts
 
 
-def _room_for_cheap(scaling: routing.Scaling, fleet: Fleet) -> dict[str, int]:
-    """Return how many cheap engines each data centre may hold that has any to give.
+def _room_for_spot(scaling: routing.Scaling, fleet: Fleet) -> dict[str, int]:
+    """Return the room for spot engines in each data centre that has any available.
 
-    In a full data centre the staying ones have to go before cheap ones can start. They are left
-    where the load needs them meanwhile.
+    In a full data centre, on-demand engines must stop before spot engines can start. They are
+    kept while the load needs them.
     """
     spare = sum(fleet.running.values()) - fleet.urgent
     room: dict[str, int] = {}
@@ -92,42 +93,42 @@
     }
 
 
-def _add_staying(
-    held: dict[Group, int],
+def _add_on_demand(
+    counts: dict[Group, int],
     scaling: routing.Scaling,
     wanted: int,
     running: dict[Group, int] | None = None,
 ) -> int:
-    """Add engines that stay where they cost least, and return how many.
+    """Add on-demand engines in the cheapest data centres first; return how many were added.
 
     Args:
-        held: Takes what is added.
-        scaling: What may be ordered.
-        wanted: How many are to be added if there is room.
-        running: Engines that run, if only such are to be added.
+        counts: Planned numbers, updated in place.
+        scaling: Limits and prices.
+        wanted: Maximum number to add.
+        running: Running engines; if given, only these are added, not new ones.
     """
     added = 0
     for zone in _by_price(scaling):
         group = Group(zone, False)
-        most = scaling.most - held[group] - held.get(Group(zone, True), 0)
+        available = scaling.most - counts[group] - counts.get(Group(zone, True), 0)
         if running is None:
-            most -= SPOT_PROBE_ROOM if scaling.has_spot else 0
+            available -= SPOT_PROBE_ROOM if scaling.has_spot else 0
         else:
-            most = min(most, running.get(group, 0) - held[group])
-        taken = max(0, min(wanted - added, most))
-        held[group] += taken
-        added += taken
+            available = min(available, running.get(group, 0) - counts[group])
+        added_here = max(0, min(wanted - added, available))
+        counts[group] += added_here
+        added += added_here
     return added
 
 
-def _spread_cheap(held: dict[Group, int], room: dict[str, int], wanted: int) -> None:
-    """Add engines one by one where fewest are, as far as there is room."""
+def _spread_spot(counts: dict[Group, int], room: dict[str, int], wanted: int) -> None:
+    """Add spot engines one by one to the data centre with the fewest, as far as there is room."""
     for zone in room:
-        held[Group(zone, True)] = 0
+        counts[Group(zone, True)] = 0
     room = {zone: count for zone, count in room.items() if count > 0}
     while wanted > 0 and room:
-        zone = min(room, key=lambda name: held[Group(name, True)])
-        held[Group(zone, True)] += 1
+        zone = min(room, key=lambda name: counts[Group(name, True)])
+        counts[Group(zone, True)] += 1
         wanted -= 1
         room[zone] -= 1
         if room[zone] <= 0:
@@ -139,5 +140,5 @@
 
 
 def wanted_engines(peak: float, margin: float) -> int:
-    """Return the engines that a load needs, in engines that it would keep busy all the time."""
+    """Return the number of engines for a load given in fully busy engines."""
     return math.ceil(peak * margin)
--- a/src/medlarfork/duties/platform_caller.py
+++ b/src/medlarfork/duties/platform_caller.py
@@ -1,4 +1,4 @@
-"""Make the calls of duties over HTTP, each in a task of its own, and say how they ended."""
+"""HTTP client for the calls of duties; each call runs in its own task."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 _log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 3.0
-"""Longest wait for an answer, in seconds; the call may be carried out later all the same."""
+"""Timeout of a call, in seconds; the platform may still execute the call later."""
 
 MayAct = Callable[[int], bool]
-"""Says whether this replica may act with a fence at this moment."""
+"""Returns whether this replica may act with a fence now."""
 
-OnEnd = Callable[[duty_types.PlatformCalled], Awaitable[None]]
-"""Takes the end of a call."""
+OnCallEnd = Callable[[duty_types.PlatformCalled], Awaitable[None]]
+"""Called with the result of each call."""
 
 
 class PlatformCaller:
-    """Own the connections to the platform."""
+    """Owns the connections to the platform and the tasks of its calls."""
 
     def __init__(
         self,
@@ -32,44 +32,46 @@
         *,
         api_format: platform_format.PlatformFormat,
         may_act: MayAct,
-        on_call_end: OnEnd,
+        on_call_end: OnCallEnd,
     ) -> None:
-        """Prepare; nothing is opened before ``start``."""
+        """Create the caller; no connection is opened before ``start``."""
         self._address = f"http://{address}"
         self._speaks = api_format
         self._may_act = may_act
-        self._on_end = on_call_end
+        self._on_call_end = on_call_end
         self._client = http_client.HttpClient()
         self._tasks: set[curio.Task] = set()
 
     @property
     def calls_in_progress(self) -> int:
-        """Return how many calls have not ended."""
+        """Return the number of calls that have not ended."""
         return len(self._tasks)
 
     async def start(self) -> None:
-        """Start the client."""
+        """Start the HTTP client."""
         await self._client.start()
 
     async def close(self) -> None:
-        """Give up calls under way and close the connections."""
+        """Cancel calls in progress and close the connections."""
         for task in tuple(self._tasks):
             await task.cancel()
         await self._client.close()
 
     async def call(self, action: duty_types.CallPlatform) -> None:
-        """Make a call in a task of its own."""
-        self._tasks.add(await curio.spawn(self._carry_out, action, daemon=True))
+        """Make a call in its own task."""
+        self._tasks.add(await curio.spawn(self._run_call, action, daemon=True))
 
-    async def _carry_out(self, action: duty_types.CallPlatform) -> None:
+    async def _run_call(self, action: duty_types.CallPlatform) -> None:
         try:
-            await self._on_end(duty_types.PlatformCalled(action.call_id, await self._send(action)))
+            await self._on_call_end(
+                duty_types.PlatformCalled(action.call_id, await self._send(action))
+            )
         finally:
             self._tasks.discard(await curio.current_task())
 
     async def _send(self, action: duty_types.CallPlatform) -> duty_types.CallEnd:
         outgoing = self._speaks.encode(action.call, action.fence)
-        # Asked last of all: this process may have stood still since the call was decided.
+        # Checked right before sending: this process may have been suspended since the decision.
         if not self._may_act(action.fence):
             return duty_types.CallEnd.NOT_SENT
         try:
--- a/src/medlarfork/duties/platform_format.py
+++ b/src/medlarfork/duties/platform_format.py
@@ -1,6 +1,6 @@
-"""Define how calls to a deployment's platform go out over HTTP: the product's own format.
+"""HTTP format of calls to a deployment's platform: the interface and the default format.
 
-A deployment whose platform speaks another format passes another ``PlatformFormat``.
+A deployment whose platform uses another format passes its own ``PlatformFormat``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpCall:
-    """Hold a call as it goes out."""
+    """An encoded call: the parts of an HTTP request."""
 
     method: str
     target: str
@@ -24,25 +24,25 @@
 
 
 class PlatformFormat(Protocol):
-    """Translate calls; it decides nothing."""
+    """Encodes calls as HTTP requests."""
 
     def encode(self, call: duty_types.PlatformCall, fence: int) -> HttpCall:
-        """Return how a call goes out; the fence grows with each holder."""
+        """Return a call's HTTP request; the fence increases with each holder."""
         ...
 
 
 class DefaultFormat:
-    """Speak the product's own paths and names.
+    """Default format.
 
     ``PUT /v1/usage/WINDOW`` and ``PUT /v1/engines/SERVICE/ZONE``.
     """
 
     def __init__(self, holder: str) -> None:
-        """Use the name of this replica."""
+        """Use a replica's name as the holder."""
         self._holder = holder
 
     def encode(self, call: duty_types.PlatformCall, fence: int) -> HttpCall:
-        """Return how a call goes out (see ``PlatformFormat``)."""
+        """Return a call's HTTP request (see ``PlatformFormat``)."""
         headers = {
             "Content-Type": "application/json",
             "Medlar-Holder": self._holder,
--- a/src/medlarfork/duties/usage_counter.py
+++ b/src/medlarfork/duties/usage_counter.py
@@ -1,8 +1,8 @@
-"""Count at an entry host which client accounts' requests began to run, window by window; pure.
+"""Usage counter of an entry host: requests started per client account and window.
 
-The load that this answers: hundreds of requests a second, leaders that change, and messages that
-are lost. Counts only grow and are told whole, so a repeated or late message does no harm, and a new
-leader is told everything that is still kept.
+Pure: no I/O, no clock. Designed for hundreds of requests per second, leader changes and lost
+messages: counts only increase and are sent as totals, so duplicated or delayed messages have no
+effect, and a new leader gets all retained windows.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from medlarfork.duties import usage_messages
 
 RETAINED_WINDOWS = 24
-"""Windows that are kept to be told again: two minutes of 5 s windows, longer than a deployment is
-without a leader."""
+"""Number of windows that are kept for resending: two minutes of 5 s windows, longer than a
+deployment is without a leader."""
 
 MIN_PERIOD_S = 0.4
-"""How often a host tells the leader in a small fleet, in seconds: what it counts meanwhile is lost
-if it loses power."""
+"""Report period of a host in a small fleet, in seconds: counts since the last report are lost if
+the host loses power."""
 
 MAX_PERIOD_S = 2.4
-"""The same in the largest fleets, in seconds: less than a window waits for hosts that are late."""
+"""Report period in the largest fleets, in seconds: shorter than a window waits for late hosts."""
 
 HOST_REPORTS_PER_S = 200.0
-"""Hosts that a leader hears in a second: a small part of its processor."""
+"""Reports that a leader receives per second: a small part of its CPU time."""
 
 
 def report_period_s(entry_hosts: int) -> float:
-    """Return how often a host of a fleet tells the leader, in seconds."""
+    """Return the report period of a host in a fleet of this size, in seconds."""
     return min(MAX_PERIOD_S, max(MIN_PERIOD_S, entry_hosts / HOST_REPORTS_PER_S))
 
 
 class UsageCounter:
-    """Keep one entry host's counts since its start."""
+    """Counts of one entry host since its start."""
 
     def __init__(self, *, boot: int, window_s: float) -> None:
         """Start without counts.
 
         Args:
-            boot: Names this start of the entry host.
+            boot: Identifies this start of the entry host.
             window_s: Length of a window, in seconds.
         """
         self._boot = boot
@@ -46,74 +46,76 @@
         self._counts_by_window: dict[int, collections.Counter[str]] = {}
         self._changed_by_window: dict[int, int] = {}
         self._sequence = 0
-        self._confirmed = 0
+        self._confirmed_sequence = 0
         self._ledger = 0
         self._leader_id = ""
-        self._sent: dict[int, tuple[str, float]] = {}
-        self._sends = 0
-        self._open_window = 0
+        self._in_flight: dict[int, tuple[str, float]] = {}
+        self._last_send = 0
+        self._reported_open_window = 0
 
     def record_sent(self, account: str, fleet_time_s: float) -> int:
-        """Note a call that begins to run now, if its upstream takes it, at a true Unix time.
+        """Record a call sent at a Unix time in seconds; return its handle for ``record_outcome``.
 
-        Its window stays open until that is known: ``record_outcome`` gets what is returned here.
+        Its window stays open until it is known whether the upstream started to run it.
         """
-        self._sends += 1
-        self._sent[self._sends] = (account, fleet_time_s)
-        return self._sends
+        self._last_send += 1
+        self._in_flight[self._last_send] = (account, fleet_time_s)
+        return self._last_send
 
     def record_outcome(self, send: int, *, has_started: bool) -> None:
-        """Count a call that was sent, or forget it if it did not run."""
-        account, fleet_time_s = self._sent.pop(send)
+        """Count a sent call if it started to run; otherwise discard it."""
+        account, fleet_time_s = self._in_flight.pop(send)
         if has_started:
             self.record_started(account, fleet_time_s)
 
     def record_started(self, account: str, fleet_time_s: float) -> None:
-        """Count a request that an upstream began to run at a true time, in Unix seconds.
+        """Count a request that an upstream started to run at a Unix time in seconds.
 
-        A window that was told to be over stays so, also if the agreed time went back a little.
+        A window that was reported as complete stays complete even if the fleet's time steps back.
         """
-        window = max(self._window(fleet_time_s), self._open_window)
+        window = max(self._window(fleet_time_s), self._reported_open_window)
         counts = self._counts_by_window.setdefault(window, collections.Counter())
         counts[account] += 1
         self._changed_by_window[window] = self._sequence + 1
 
     def pending_report(self, leader_id: str, fleet_time_s: float) -> usage_messages.UsageTold:
-        """Return what the leader is to be told now; a new one is told everything."""
+        """Return the next report to the leader; a new leader gets all windows."""
         if leader_id != self._leader_id:
             self._leader_id = leader_id
-            self._tell_all()
-        self._forget_before(self._window(fleet_time_s) - RETAINED_WINDOWS)
+            self._resend_all()
+        self._evict_before(self._window(fleet_time_s) - RETAINED_WINDOWS)
         self._sequence += 1
-        oldest_s = min((sent_s for _, sent_s in self._sent.values()), default=fleet_time_s)
-        self._open_window = max(self._open_window, self._window(min(oldest_s, fleet_time_s)))
+        oldest_s = min((sent_s for _, sent_s in self._in_flight.values()), default=fleet_time_s)
+        self._reported_open_window = max(
+            self._reported_open_window, self._window(min(oldest_s, fleet_time_s))
+        )
         windows = tuple(
             usage_messages.WindowCounts(window, dict(counts))
             for window, counts in self._counts_by_window.items()
-            if self._changed_by_window[window] > self._confirmed
+            if self._changed_by_window[window] > self._confirmed_sequence
         )
         return usage_messages.UsageTold(
-            self._boot, self._sequence, self._open_window, windows, self._ledger
+            self._boot, self._sequence, self._reported_open_window, windows, self._ledger
         )
 
     def confirm(self, leader_id: str, receipt: usage_messages.UsageReceipt) -> None:
-        """Take a leader's receipt; one that has started again since is told everything."""
+        """Handle a leader's receipt; a leader that has restarted since gets all windows again."""
         if leader_id != self._leader_id or receipt.boot != self._boot:
             return
         if self._ledger not in (0, receipt.ledger):
-            self._tell_all()
+            self._resend_all()
             return
         self._ledger = receipt.ledger
-        self._confirmed = max(self._confirmed, receipt.sequence)
+        self._confirmed_sequence = max(self._confirmed_sequence, receipt.sequence)
 
-    def _tell_all(self) -> None:
+    def _resend_all(self) -> None:
         self._ledger = 0
-        self._confirmed = 0
+        self._confirmed_sequence = 0
 
     def _window(self, fleet_time_s: float) -> int:
         return int(fleet_time_s // self._window_s)
 
-    def _forget_before(self, oldest: int) -> None:
+    def _evict_before(self, oldest: int) -> None:
         for window in [window for window in self._counts_by_window if window < oldest]:
             del self._counts_by_window[window]
             del self._changed_by_window[window]
--- a/src/medlarfork/duties/usage_ledger.py
+++ b/src/medlarfork/duties/usage_ledger.py
@@ -1,4 +1,4 @@
-"""Add up at the leader what entry hosts counted, and say which windows are complete; pure."""
+"""Usage ledger of the leader: sums the counts of entry hosts and finds the complete windows."""
 
 from __future__ import annotations
 
@@ -7,80 +7,83 @@
 from medlarfork.duties import usage_messages
 
 STRAGGLER_TIMEOUT_S = 3.0
-"""How long a window that has ended waits for entry hosts that did not tell of it yet, in seconds:
-longer than most hosts stand still, and well before a report is late."""
+"""How long a window that has ended waits for entry hosts whose report is missing, in seconds:
+longer than most suspensions of a host, and well before the window's report is due."""
 
 MAX_WINDOWS = 48
-"""Windows that are kept at once; the oldest give way."""
+"""Maximum number of windows; the oldest are evicted."""
 
 MAX_ACCOUNTS = 10_000
-"""Client accounts that are counted in a window; what further ones are told of is left out."""
+"""Maximum number of client accounts per host and window; further ones are ignored."""
 
 
 class UsageLedger:
-    """Merge counts by their maximum; nothing here is durable, since entry hosts tell again."""
+    """Counts by window and entry host, merged by their maximum.
+
+    Pure: no I/O, no clock. Nothing is durable, since entry hosts resend their counts.
+    """
 
     def __init__(self, ledger: int) -> None:
-        """Start without counts; ``ledger`` names this start of its replica."""
+        """Start without counts; ``ledger`` identifies this start of the replica."""
         self._ledger = ledger
         self._counts_by_window: dict[int, dict[tuple[str, int], dict[str, int]]] = {}
         self._open_window_by_entry: dict[str, int] = {}
         self._ended_at_by_window: dict[int, float] = {}
 
     def take(
-        self, entry_id: str, told: usage_messages.UsageTold, now: float
+        self, entry_id: str, message: usage_messages.UsageTold, now: float
     ) -> usage_messages.UsageReceipt:
-        """Take what an entry host tells and return the receipt for it."""
-        for counted in told.windows:
+        """Merge a report of an entry host and return its receipt."""
+        for counted in message.windows:
             by_start = self._counts_by_window.setdefault(counted.window, {})
-            counts = by_start.setdefault((entry_id, told.boot), {})
+            counts = by_start.setdefault((entry_id, message.boot), {})
             for account, count in list(counted.count_by_account.items())[:MAX_ACCOUNTS]:
                 counts[account] = max(count, counts.get(account, 0))
-        self._forget_oldest()
-        # Else windows that an earlier start of a replica confirmed are missing in this message.
-        if told.ledger in (0, self._ledger):
-            self._note_ended(entry_id, told.open_window, now)
-        return usage_messages.UsageReceipt(told.boot, told.sequence, self._ledger)
+        self._evict_oldest()
+        # Otherwise the message lacks windows that an earlier start of a replica confirmed.
+        if message.ledger in (0, self._ledger):
+            self._record_ended_windows(entry_id, message.open_window, now)
+        return usage_messages.UsageReceipt(message.boot, message.sequence, self._ledger)
 
-    def complete(self, entry_ids: frozenset[str], now: float) -> tuple[int, ...]:
-        """Return the windows of which no more is to be heard, the oldest first.
+    def complete_windows(self, entry_ids: frozenset[str], now: float) -> tuple[int, ...]:
+        """Return the windows for which no further reports are expected, oldest first.
 
         Args:
-            entry_ids: The entry hosts that are there.
+            entry_ids: Present entry hosts.
             now: The time in seconds.
         """
-        # Hosts that are gone are not waited for; one that comes back tells again.
+        # Hosts that are gone are not waited for; one that comes back sends its counts again.
         self._open_window_by_entry = {
             entry_id: self._open_window_by_entry.get(entry_id, 0) for entry_id in entry_ids
         }
-        all_past = min(self._open_window_by_entry.values(), default=0)
+        first_open_window = min(self._open_window_by_entry.values(), default=0)
         return tuple(
             window
             for window in sorted(self._counts_by_window)
-            if window < all_past
+            if window < first_open_window
             or self._ended_at_by_window.get(window, now) + STRAGGLER_TIMEOUT_S <= now
         )
 
     def counts(self, window: int) -> dict[str, int]:
-        """Return the requests of each client account that began in a window, as far as known."""
+        """Return the requests started in a window by client account, as far as reported."""
         total: collections.Counter[str] = collections.Counter()
         for counts in self._counts_by_window.get(window, {}).values():
             total.update(counts)
         return dict(total)
 
     def drop(self, window: int) -> None:
-        """Forget a window whose counts are fixed."""
+        """Remove a window whose counts are fixed."""
         self._counts_by_window.pop(window, None)
         self._ended_at_by_window.pop(window, None)
 
-    def _note_ended(self, entry_id: str, open_window: int, now: float) -> None:
-        """Note that an entry host counts in a window, and that those before it are over."""
+    def _record_ended_windows(self, entry_id: str, open_window: int, now: float) -> None:
+        """Record an entry host's open window, and that the windows before it have ended."""
         known = self._open_window_by_entry.get(entry_id, 0)
         self._open_window_by_entry[entry_id] = max(known, open_window)
         for window in self._counts_by_window:
             if window < open_window:
                 self._ended_at_by_window.setdefault(window, now)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         for window in sorted(self._counts_by_window)[:-MAX_WINDOWS]:
             self.drop(window)
--- a/src/medlarfork/duties/usage_messages.py
+++ b/src/medlarfork/duties/usage_messages.py
@@ -1,4 +1,4 @@
-"""Define what entry hosts and the replica that leads say to each other about usage."""
+"""Usage messages between entry hosts and the leader."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowCounts:
-    """Hold what one entry host counted in one window; each count only grows."""
+    """Counts of one entry host in one window; each count only increases."""
 
     window: int
     count_by_account: dict[str, int]
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageTold:
-    """Tell the leader what an entry host counted; repeated until it is confirmed.
+    """Usage report of an entry host to the leader; resent until it is confirmed.
 
     Attributes:
-        boot: Names the start of the entry host, whose counts begin anew with each.
-        sequence: Grows with each message of that start.
-        open_window: The window that the entry host counts in now; earlier ones are complete.
-        windows: All windows whose counts grew since what was confirmed.
-        ledger: Who confirmed that (see ``UsageReceipt``); 0 if these are all windows there are.
+        boot: Identifies the start of the entry host; counts restart at zero with each.
+        sequence: Increases with each message of that start.
+        open_window: The first window that may still change; earlier ones are complete.
+        windows: All windows whose counts increased since the last confirmed message.
+        ledger: The ``UsageReceipt.ledger`` that confirmed it; 0 if the message has all windows.
     """
 
     boot: int
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageReceipt:
-    """Confirm that a leader has all that an entry host told up to a message.
+    """Confirmation that the leader has received an entry host's counts up to a message.
 
     Attributes:
-        boot: The start of the entry host.
-        sequence: The message.
-        ledger: Names the start of the replica that leads, which knows nothing from before it.
+        boot: Identifies the start of the entry host.
+        sequence: Sequence number of the message.
+        ledger: Identifies the start of the leading replica, which has no counts from before it.
     """
 
     boot: int
@@ -48,4 +48,4 @@
 
 
 USAGE_MESSAGES: tuple[type, ...] = (UsageTold, UsageReceipt)
-"""Every message class of this module, for the codec of the links."""
+"""All message classes of this module, for the codec of the links."""
--- a/src/medlarfork/filters/__init__.py
+++ b/src/medlarfork/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The filters of a request, in the order in which it passes them."""
+"""The filters of the request pipeline."""
--- a/src/medlarfork/filters/admit.py
+++ b/src/medlarfork/filters/admit.py
@@ -1,4 +1,4 @@
-"""Admit requests only while this entry host may take them and within its bounds."""
+"""Admission control of an entry host: limits on concurrent requests and on held body bytes."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostStatus:
-    """Say how this entry host stands at the moment.
+    """Whether this entry host may serve requests now.
 
     Attributes:
-        refusing: Whether it drains and no longer accepts.
-        usable: Whether it has a configuration that it may act on.
-        proven: Whether control has confirmed the configuration lately.
+        refusing: Whether it is draining and rejects new requests.
+        usable: Whether it has a configuration that it may use.
+        proven: Whether control has confirmed the configuration recently.
         other_addresses: Other entry hosts that callers can use.
     """
 
@@ -27,7 +27,7 @@
 
 
 class Admission:
-    """Count requests in progress and the bytes of their bodies, and refuse beyond the bounds."""
+    """Counts requests in progress and the bytes of their bodies; rejects beyond the limits."""
 
     def __init__(self, *, request_limit: int, bytes_limit: int) -> None:
         """Start with nothing in progress."""
@@ -38,50 +38,52 @@
 
     @property
     def load(self) -> float:
-        """Return the share of the bounds in use, 0 to 1."""
+        """Return the utilization of the limits, 0 to 1."""
         share = max(self.requests / self._request_limit, self.held_bytes / self._bytes_limit)
         return min(share, 1.0)
 
     def admit(self, body_bytes: int, standing: HostStatus, *, repeatable: bool) -> None:
-        """Count one more request; ``leave`` must follow once.
+        """Count one request; ``leave`` must be called once for it.
 
         Raises:
-            errors.RequestRefusedError: It can't be taken now; nothing was counted.
+            errors.RequestRefusedError: It can't be admitted now; it is not counted.
         """
         check_host_status(standing)
         if not repeatable and not standing.proven:
             raise deduplicate.no_quorum_error()
         full = self.requests >= self._request_limit
         if full or self.held_bytes + body_bytes > self._bytes_limit:
-            raise _elsewhere(
+            raise _use_other_host(
                 errors.Code.OVERLOADED, "This entry host has too many requests.", standing
             )
         self.requests += 1
         self.held_bytes += body_bytes
 
     def leave(self, body_bytes: int) -> None:
-        """Count one request less."""
+        """Stop counting one request."""
         self.requests -= 1
         self.held_bytes -= body_bytes
 
 
 def check_host_status(standing: HostStatus) -> None:
-    """Check whether this host takes requests at all.
+    """Check whether this host accepts requests at all.
 
     Raises:
-        errors.RequestRefusedError: It drains, or may not act on its configuration.
+        errors.RequestRefusedError: It is draining, or may not use its configuration.
     """
     if standing.refusing:
-        raise _elsewhere(errors.Code.DRAINING, "This entry host is stopping.", standing)
+        raise _use_other_host(errors.Code.DRAINING, "This entry host is stopping.", standing)
     if not standing.usable:
-        raise _elsewhere(
+        raise _use_other_host(
             errors.Code.STALE_CONFIGURATION,
             "This entry host can't prove that its configuration is current.",
             standing,
         )
 
 
-def _elsewhere(code: errors.Code, problem: str, standing: HostStatus) -> errors.RequestRefusedError:
+def _use_other_host(
+    code: errors.Code, problem: str, standing: HostStatus
+) -> errors.RequestRefusedError:
     headers = answers.retry_after(1.0)
     if standing.other_addresses:
         headers[header_names.ENTRIES] = ", ".join(standing.other_addresses)
--- a/src/medlarfork/filters/answers.py
+++ b/src/medlarfork/filters/answers.py
@@ -1,4 +1,4 @@
-"""Build the answers that an entry host gives by itself, errors in the shape of the OpenAI API."""
+"""Builds the answers of the entry host itself; errors have the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from medlarfork.http import header_names
 
 _STATUS_BY_CODE = {errors.Code.NOT_FOUND: 404, errors.Code.MODEL_NOT_FOUND: 404}
-"""HTTP statuses of errors that don't carry their own; 400 for the others."""
+"""HTTP statuses of errors without a status of their own; 400 for all codes not listed."""
 
 _TYPE_BY_STATUS = {
     401: "authentication_error",
@@ -21,7 +21,7 @@
 
 
 def status_of(error: errors.MedlarError) -> int:
-    """Return the HTTP status that answers an error."""
+    """Return the HTTP status for an error."""
     if isinstance(error, errors.RequestRefusedError):
         return error.status
     return _STATUS_BY_CODE.get(error.code, 400)
@@ -54,7 +54,7 @@
 
 
 def replay(request_id: str, stored: claim.StoredAnswer) -> entry_types.Answer:
-    """Return a stored answer once more."""
+    """Return the replay of a stored answer."""
     return entry_types.Answer(
         request_id,
         stored.status,
@@ -66,7 +66,7 @@
 
 
 def retry_after(seconds: float) -> dict[str, str]:
-    """Return the headers that say when to try again: whole seconds, at least one, and ms."""
+    """Return the Retry-After headers: in full seconds, at least one, and in milliseconds."""
     bounded_s = min(max(seconds, 0.0), 3600.0)
     return {
         header_names.RETRY_AFTER: str(max(1, math.ceil(bounded_s))),
@@ -88,8 +88,8 @@
             )
         case ticket.ShedReason.ENDS_UPSTREAMS:
             return errors.RequestRefusedError(
-                "Several upstreams ended while they ran this request.",
-                remedy="Change the request; it is tried again after the time in Retry-After.",
+                "Several upstreams crashed while running this request.",
+                remedy="Change the request, or send it again after the time in Retry-After.",
                 code=errors.Code.ENDS_UPSTREAMS,
                 status=503,
                 headers=headers,
@@ -106,7 +106,7 @@
             )
         case ticket.ShedReason.OVERLOADED:
             return errors.RequestRefusedError(
-                "The service has more work than it can do.",
+                "The service is overloaded.",
                 remedy="Try again after the time in Retry-After.",
                 code=errors.Code.OVERLOADED,
                 status=503,
@@ -115,9 +115,9 @@
 
 
 def no_capacity_error(headers: dict[str, str] | None = None) -> errors.RequestRefusedError:
-    """Return the error for a service without any upstream that accepts work."""
+    """Return the error for a service without an upstream that accepts requests."""
     return errors.RequestRefusedError(
-        "No upstream of the service accepts work.",
+        "No upstream of the service accepts requests.",
         remedy="Try again after the time in Retry-After.",
         code=errors.Code.NO_CAPACITY,
         status=503,
@@ -136,7 +136,7 @@
 
 
 def upstream_error(reason: str) -> errors.RequestRefusedError:
-    """Return the error for a request that no upstream answered whole."""
+    """Return the error for a request that no upstream answered completely."""
     detail = f": {reason}" if reason else ""
     return errors.RequestRefusedError(
         f"The upstream failed{detail}.",
@@ -147,7 +147,7 @@
 
 
 def upstream_refused_error() -> errors.RequestRefusedError:
-    """Return the error for a request that every upstream tried refused before executing."""
+    """Return the error for a request that all tried upstreams refused before executing it."""
     return errors.RequestRefusedError(
         "The upstreams refused the request before executing it.",
         remedy="Try again after the time in Retry-After.",
@@ -158,9 +158,9 @@
 
 
 def drained_error() -> errors.RequestRefusedError:
-    """Return the error for a request that a stop of this host cuts short."""
+    """Return the error for a request that is cut off because this host stops."""
     return errors.RequestRefusedError(
-        "This entry host stops now.",
+        "This entry host is stopping.",
         remedy="Ask /v1/entries for another entry host.",
         code=errors.Code.DRAINING,
         status=503,
--- a/src/medlarfork/filters/assembled_answer.py
+++ b/src/medlarfork/filters/assembled_answer.py
@@ -1,4 +1,4 @@
-"""Assemble a whole chat completion from the parts of a stream."""
+"""Assembles a complete chat completion from the chunks of a stream."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class AssembledAnswer:
-    """Collect the parts of one answer with one choice; bounded in size."""
+    """Collects the chunks of one answer with one choice; bounded in size."""
 
     def __init__(self, *, limit_bytes: int) -> None:
-        """Start empty; ``limit_bytes`` bounds the bytes of all parts together."""
+        """Start empty; ``limit_bytes`` bounds the bytes of all chunks together."""
         self._limit_bytes = limit_bytes
         self._held_bytes = 0
         self._head: dict[str, Any] = {}
@@ -25,7 +25,7 @@
         self._usage: Any = None
 
     def add(self, chunk: dict[str, Any], size: int) -> None:
-        """Add one part, which took ``size`` bytes.
+        """Add one chunk of ``size`` bytes.
 
         Raises:
             errors.UpstreamError: The answer is too large to hold.
@@ -45,7 +45,7 @@
             self._finish_reason = choice.get("finish_reason") or self._finish_reason
 
     def encode(self) -> bytes:
-        """Return the body of the whole answer."""
+        """Return the body of the complete answer."""
         message: dict[str, Any] = {"role": "assistant", "content": None}
         for name, parts in self._parts_by_field.items():
             message[name] = "".join(parts)
--- a/src/medlarfork/filters/classify.py
+++ b/src/medlarfork/filters/classify.py
@@ -1,7 +1,9 @@
-"""Assign a caller's request to its service and its request class; a pure filter.
+"""Assigns a caller's request to its service and its request class.
 
-The labels that selectors see come from four places: the account, the caller's ``Medlar-Labels``
-header, the matching call of a plain service, and the request itself (``DERIVED_KEYS``).
+Selectors match labels from four sources: the account, the caller's ``Medlar-Labels`` header, the
+matching call of a plain service, and the request itself (``DERIVED_KEYS``).
+
+Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -14,25 +16,25 @@
 from medlarfork.filters import plain_call
 
 DERIVED_KEYS = ("account", "service", "model", "method", "stream")
-"""Label keys whose values come from the request itself; nobody may declare or send them."""
+"""Label keys derived from the request itself; they can be neither declared nor sent."""
 
 _LABELS_LIMIT = 32
-"""How many labels a caller may send."""
+"""Maximum number of labels that a caller may send."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """Hold what was read from one request before it is classified.
+    """A parsed request before classification.
 
     Attributes:
         request_id: Unique over connections, hosts and restarts.
         method: HTTP method in upper case.
         path: Path below ``/services/NAME`` for a plain service; empty for a model.
-        service: Service named in the path; empty for a model request.
-        model: Model named in the body; empty for a plain service.
-        stream: Whether the caller asked for a stream.
-        max_tokens: Most tokens the caller allows, if it named a bound.
-        prefix: Digest of the prompt's beginning; may be empty.
+        service: Service in the path; empty for a model request.
+        model: Model in the body; empty for a plain service.
+        stream: Whether the caller requested a stream.
+        max_tokens: The caller's limit of output tokens; None if it gave none.
+        prefix: Digest of the prompt's prefix; may be empty.
         caller_labels: Labels from the ``Medlar-Labels`` header.
         key: The caller's idempotency key; empty if it gave none.
         body_sha256: Hex digest of the body.
@@ -53,14 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SelectorMatch:
-    """Say whether one selector matched a request.
+    """Whether one selector matched a request.
 
     Attributes:
-        name: The class or route whose selector it is.
+        name: The class or route of the selector.
         precedence: Its precedence.
-        matched: Whether every requirement was met.
-        chosen: Whether it also won over the others that matched.
-        unmet: Each requirement that was not met, and what the request carries instead.
+        matched: Whether the request meets every requirement.
+        chosen: Whether it has the highest precedence of those that matched.
+        unmet: For each unmet requirement, a text with the request's label value.
     """
 
     name: str
@@ -71,10 +73,10 @@
 
 
 def parse_labels(header: str) -> dict[str, str]:
-    """Parse the value of a ``Medlar-Labels`` header, written as ``key=value, key=value``.
+    """Parse a ``Medlar-Labels`` header of the form ``key=value, key=value``.
 
     Raises:
-        errors.RequestLabelsError: It does not follow that form, or names a key twice.
+        errors.RequestLabelsError: The header is malformed, or has a key twice.
     """
     parsed: dict[str, str] = {}
     for term in header.split(","):
@@ -103,7 +105,7 @@
     Raises:
         errors.ModelNotFoundError: No service lists the model.
         errors.ServiceNotFoundError: The service in the path is not declared.
-        errors.RequestLabelsError: The caller sent labels that it may not use.
+        errors.RequestLabelsError: The caller sent labels that it may not send.
     """
     call = _find_call(configuration, parsed)
     request_labels = _labels(configuration, account, parsed, call)
@@ -111,7 +113,7 @@
     request_labels["service"] = service.name
     request_class = choose_class(configuration, request_labels)
     repeatable = request_class.repeatable and _call_is_repeatable(parsed, call)
-    # The request id is unique, so it serves as the key of a caller that gave none.
+    # The request id is unique, so it is the idempotency key where the caller gave none.
     key = "" if repeatable else parsed.key or parsed.request_id
     return request.Request(
         request_id=parsed.request_id,
@@ -137,19 +139,19 @@
 def route(
     configuration: configurations.Configuration, request_labels: Mapping[str, str]
 ) -> configurations.Service:
-    """Return the service of the best matching route, or else the one the request asked for.
+    """Return the service of the best matching route, or else the requested one.
 
-    ``request_labels`` holds the service asked for as ``service``. A route to a service of the
-    other kind never applies, since the two speak differently.
+    ``request_labels`` holds the requested service as ``service``. A route to a service of the other
+    kind never applies, because the two kinds have different protocols.
     """
-    asked = configuration.service_by_name[request_labels["service"]]
+    requested = configuration.service_by_name[request_labels["service"]]
     for candidate, selector in configuration.ranked_routes:
         service = configuration.service_by_name.get(candidate.service)
-        if service is None or service.kind is not asked.kind:
+        if service is None or service.kind is not requested.kind:
             continue
         if selector.matches(request_labels):
             return service
-    return asked
+    return requested
 
 
 def choose_class(
@@ -165,7 +167,7 @@
 def explain_class(
     configuration: configurations.Configuration, request_labels: Mapping[str, str]
 ) -> tuple[SelectorMatch, ...]:
-    """Return for each class, best first, whether it matches the labels and why not."""
+    """Return for each class, highest precedence first, whether it matches, and why not."""
     return _explain(
         tuple((item.name, item.precedence, found) for item, found in configuration.ranked_classes),
         request_labels,
@@ -175,15 +177,15 @@
 def explain_route(
     configuration: configurations.Configuration, request_labels: Mapping[str, str]
 ) -> tuple[SelectorMatch, ...]:
-    """Return for each route, best first, whether it matches the labels and why not.
+    """Return for each route, highest precedence first, whether it matches, and why not.
 
-    ``request_labels`` are those that ``route`` takes.
+    ``request_labels`` are the same as for ``route``.
     """
-    asked = configuration.service_by_name[request_labels["service"]]
+    requested = configuration.service_by_name[request_labels["service"]]
     ranked = tuple(
         (item.name, item.precedence, found)
         for item, found in configuration.ranked_routes
-        if configuration.service_by_name[item.service].kind is asked.kind
+        if configuration.service_by_name[item.service].kind is requested.kind
     )
     return _explain(ranked, request_labels)
 
@@ -193,10 +195,10 @@
     account: configurations.Account,
     parsed: ParsedRequest,
 ) -> dict[str, str]:
-    """Return the labels that routes see: ``service`` holds the service asked for.
+    """Return the labels that routes match; ``service`` is the requested service.
 
     Raises:
-        errors.MedlarError: As ``assign``.
+        errors.MedlarError: The same errors as ``assign``.
     """
     return _labels(configuration, account, parsed, _find_call(configuration, parsed))
 
@@ -227,7 +229,7 @@
         _check_allowed(configuration, merged, key, value)
         merged[key] = value
     merged["account"] = account.name
-    merged["service"] = _asked_service(configuration, parsed).name
+    merged["service"] = _requested_service(configuration, parsed).name
     merged["method"] = parsed.method
     merged["stream"] = "true" if parsed.stream else "false"
     if parsed.model:
@@ -235,7 +237,7 @@
     return merged
 
 
-def _asked_service(
+def _requested_service(
     configuration: configurations.Configuration, parsed: ParsedRequest
 ) -> configurations.Service:
     if not parsed.service:
@@ -267,7 +269,7 @@
     key: str,
     value: str,
 ) -> None:
-    """Refuse a caller's label that would change or invent what operators select by."""
+    """Refuse a caller's label that is undeclared or would override a label set elsewhere."""
     if key in DERIVED_KEYS or fixed.get(key, value) != value:
         raise errors.RequestLabelsError(
             f"The label {key} is set by the operators or by the request itself.",
--- a/src/medlarfork/filters/deduplicate.py
+++ b/src/medlarfork/filters/deduplicate.py
@@ -1,8 +1,8 @@
-"""Deduplicate not-repeatable requests: what a claim's verdict means for the caller.
+"""Deduplicates non-repeatable requests: maps the verdict of a claim to the next step.
 
-A not-repeatable request is identified by client account and idempotency key. It may go on only
-with a claim that control has granted; every other verdict is its final answer, or means asking
-again.
+A non-repeatable request is identified by client account and idempotency key. It may be dispatched
+only with a claim that control has granted. Any other verdict is final, or means that another
+request with the key is in progress and the claim has to be retried.
 """
 
 from __future__ import annotations
@@ -27,27 +27,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proceed:
-    """Say that the claim is granted: the request may be dispatched once."""
+    """The claim is granted: the request may be dispatched once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InProgress:
-    """Say that another request with the same key is in progress."""
+    """Another request with the same key is in progress."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """Give the stored answer once more."""
+    """The request has completed: replay the stored answer."""
 
     answer: claim.StoredAnswer
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer with an error.
+    """The request is refused with an error.
 
     Attributes:
-        outcome: What is known of the request that the key identifies.
+        error: The error to answer with.
+        outcome: What is known about the request that the key identifies.
         abandon: Whether a copy of the claim request could still be granted later.
     """
 
@@ -59,30 +60,30 @@
 Decision = Proceed | InProgress | Replay | Refuse
 
 
-def check_key(declared: configuration.Configuration, asked: request.Request) -> None:
+def check_key(declared: configuration.Configuration, incoming: request.Request) -> None:
     """Check the caller's idempotency key, if it gave one.
 
     Raises:
-        errors.RequestRefusedError: The key carries no time although the configuration asks it.
+        errors.RequestRefusedError: The key has no timestamp, but the configuration requires one.
     """
-    if not asked.key_given or declared.allow_undated_keys:
+    if not incoming.key_given or declared.allow_undated_keys:
         return
-    if uuid7.time_ms(asked.key) is None:
+    if uuid7.time_ms(incoming.key) is None:
         raise errors.RequestRefusedError(
-            "The Idempotency-Key carries no time.",
+            "The Idempotency-Key contains no timestamp.",
             remedy="Send a UUIDv7 as the key.",
             code=errors.Code.KEY_EXPIRED,
             status=422,
         )
 
 
-def key_of(asked: request.Request) -> claim.ClaimKey:
-    """Return the key that identifies a not-repeatable request."""
-    return claim.ClaimKey(asked.account, asked.key)
+def key_of(incoming: request.Request) -> claim.ClaimKey:
+    """Return the key that identifies a non-repeatable request."""
+    return claim.ClaimKey(incoming.account, incoming.key)
 
 
 def decide(reply: claim.ClaimReply) -> Decision:
-    """Return what a claim's verdict means."""
+    """Return the decision for a claim's verdict."""
     match reply.verdict:
         case claim.Verdict.GRANTED:
             return Proceed()
@@ -97,11 +98,11 @@
 
 
 def control_unavailable(*, contended: bool) -> Refuse:
-    """Return the refusal for a claim that control does not answer.
+    """Return the refusal for a claim to which control does not reply.
 
     Args:
-        contended: Whether control said before that another request holds the key; that one may
-            have run, although this one did not.
+        contended: Whether control stated before that another request holds the key; that one may
+            have run, although this one has not.
     """
     if contended:
         return still_running()
@@ -109,7 +110,7 @@
 
 
 def still_running() -> Refuse:
-    """Return the refusal for a request whose duplicate has not ended in time."""
+    """Return the refusal for a request whose duplicate has not finished in time."""
     error = errors.RequestRefusedError(
         "Another request with this Idempotency-Key is still in progress.",
         remedy="Send it again later with the same key to get its answer.",
@@ -121,9 +122,9 @@
 
 
 def no_quorum_error() -> errors.RequestRefusedError:
-    """Return the error for a not-repeatable request while control can't record its claim."""
+    """Return the error for a non-repeatable request whose claim control can't record now."""
     return errors.RequestRefusedError(
-        "Requests that must not run twice can't be recorded at the moment.",
+        "Non-repeatable requests can't be recorded at the moment.",
         remedy="Send it again later with the same key.",
         code=errors.Code.NO_QUORUM,
         status=503,
@@ -131,16 +132,16 @@
     )
 
 
-def headers(asked: request.Request) -> dict[str, str]:
-    """Return the header that tells the caller the key its request ran under."""
-    return {header_names.KEY: asked.key} if asked.key else {}
+def headers(incoming: request.Request) -> dict[str, str]:
+    """Return the header with the key under which the request ran."""
+    return {header_names.KEY: incoming.key} if incoming.key else {}
 
 
 def answer_to_store(
-    asked: request.Request, ended: entry_types.AttemptEnded
+    incoming: request.Request, ended: entry_types.AttemptEnded
 ) -> claim.StoredAnswer | None:
-    """Return what to keep of a complete answer; None for a repeatable request."""
-    if asked.repeatable:
+    """Return what to store of a complete answer; None for a repeatable request."""
+    if incoming.repeatable:
         return None
     return ended.answer or claim.StoredAnswer(ended.status, "", b"", kept=False)
 
@@ -155,7 +156,7 @@
 def _error(verdict: claim.Verdict) -> errors.RequestRefusedError:
     match verdict:
         case claim.Verdict.ALREADY_RAN:
-            problem = "The request with this Idempotency-Key ran; its answer is no longer kept."
+            problem = "The request with this Idempotency-Key ran; its answer is no longer stored."
             remedy = "Read the result from the service; don't send the request with a new key."
             code, status = errors.Code.ALREADY_RAN, 409
         case claim.Verdict.HOLDER_LOST:
@@ -163,7 +164,7 @@
             remedy = "Check whether it took effect before you send it with a new key."
             code, status = errors.Code.UNCERTAIN, 409
         case claim.Verdict.KEY_EXPIRED:
-            problem = "The time in the Idempotency-Key is out of the range that is remembered."
+            problem = "The timestamp in the Idempotency-Key is outside the accepted range."
             remedy = "Check whether the request took effect before you send it with a new key."
             code, status = errors.Code.KEY_EXPIRED, 422
         case claim.Verdict.KEY_REUSED:
@@ -171,7 +172,7 @@
             remedy = "Send a new key with each new request."
             code, status = errors.Code.KEY_REUSED, 422
         case claim.Verdict.FULL:
-            problem = "No more requests that must not run twice can be recorded at the moment."
+            problem = "No more non-repeatable requests can be recorded at the moment."
             remedy = "Send it again later with the same key."
             code, status = errors.Code.OVERLOADED, 503
         case _:
--- a/src/medlarfork/filters/identify.py
+++ b/src/medlarfork/filters/identify.py
@@ -1,4 +1,4 @@
-"""Identify the client account of a request by its API key."""
+"""Identifies the client account of a request by its API key."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 def identify(
     declared: configuration.Configuration, headers: Mapping[str, str]
 ) -> configuration.Account:
-    """Return the account whose key the ``Authorization`` header carries.
+    """Return the account whose key is in the ``Authorization`` header.
 
-    The key is hashed before it is looked up, so the time the lookup takes says nothing about
-    the keys that exist.
+    The key is hashed before the lookup, so that the duration of the lookup reveals nothing about
+    existing keys.
 
     Raises:
         errors.RequestRefusedError: There is no key, or no account has it.
     """
     header = headers.get("authorization", "")
     if not header[: len(_SCHEME)].lower() == _SCHEME:
-        raise _invalid_key("The request carries no API key.")
+        raise _invalid_key("The request has no API key.")
     key = header[len(_SCHEME) :].strip()
     digest = hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
     account = declared.account_by_key_sha256.get(digest)
--- a/src/medlarfork/filters/outgoing.py
+++ b/src/medlarfork/filters/outgoing.py
@@ -1,4 +1,4 @@
-"""Build what an entry host sends to an upstream from what the caller sent to it."""
+"""Builds the HTTP request to an upstream from the caller's request."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
         "upgrade",
     }
 )
-"""Headers of the connection, of the caller's credentials, and those the entry host sets."""
+"""Connection headers, the caller's credentials, and headers that the entry host sets."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """Hold the request of one attempt, ready for the HTTP client."""
+    """The HTTP request of one attempt."""
 
     method: str
     target: str
@@ -46,7 +46,7 @@
 
 
 class _StreamFlag(msgspec.Struct, frozen=True):
-    """Read only whether a chat completion asks for a stream."""
+    """The stream flag of a chat completion request; other fields are ignored."""
 
     stream: bool | None = None
 
@@ -69,7 +69,7 @@
 
 
 def asks_for_stream(raw: entry_types.RawRequest) -> bool:
-    """Return whether a caller asked for a stream of events."""
+    """Return whether a caller requested an event stream."""
     if raw.path != parse.CHAT_PATH:
         return False
     try:
@@ -87,13 +87,13 @@
 
 
 def _as_stream(body: bytes) -> bytes:
-    """Return the same chat completion, asking for a stream with its token counts."""
+    """Return the same chat completion request with streaming and token counts enabled."""
     try:
-        asked = msgspec.json.decode(body, type=dict)
+        requested = msgspec.json.decode(body, type=dict)
     except msgspec.MsgspecError as error:
         raise errors.UpstreamError(
             "The body is not a JSON object.", remedy="Send a chat completion request."
         ) from error
-    asked["stream"] = True
-    asked["stream_options"] = {"include_usage": True}
-    return msgspec.json.encode(asked)
+    requested["stream"] = True
+    requested["stream_options"] = {"include_usage": True}
+    return msgspec.json.encode(requested)
--- a/src/medlarfork/filters/parse.py
+++ b/src/medlarfork/filters/parse.py
@@ -1,4 +1,4 @@
-"""Parse a caller's HTTP request: a chat completion, or a call of a plain service."""
+"""Parses a caller's HTTP request: a chat completion, or a call of a plain service."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 """Path of chat completions, as in the OpenAI API."""
 
 SERVICES_PATH = "/services/"
-"""Path below which plain services are called, by their name."""
+"""Path prefix of plain services; their name follows."""
 
 _PREFIX_CHARACTERS = 1024
-"""How much of the first message counts as the prompt's beginning."""
+"""Number of characters of the first message that form the prompt prefix."""
 
 _KEY_CHARACTERS = 200
-"""Longest idempotency key that is accepted."""
+"""Maximum length of an idempotency key."""
 
 
 class _ChatBody(msgspec.Struct, frozen=True):
-    """Read the fields of a chat completion that decisions need; all others pass through."""
+    """The fields of a chat completion request that decisions need; others pass through."""
 
     model: str
     messages: list[Any]
@@ -38,10 +38,10 @@
 
 
 def parse(raw: entry_types.RawRequest) -> classify.ParsedRequest:
-    """Return what was asked for.
+    """Return the parsed request.
 
     Raises:
-        errors.MedlarError: The request is malformed or its path leads nowhere.
+        errors.MedlarError: The request is malformed or its path is unknown.
     """
     if raw.path == CHAT_PATH:
         return _parse_chat(raw)
@@ -56,7 +56,7 @@
 
 
 def prompt_prefix(model: str, messages: list[Any]) -> str:
-    """Return a digest that prompts with the same model and beginning share."""
+    """Return a digest that is equal for prompts with the same model and prefix."""
     if not messages:
         return ""
     first = msgspec.json.encode(messages[0]).decode()[:_PREFIX_CHARACTERS]
@@ -113,7 +113,7 @@
 def _parse_call(raw: entry_types.RawRequest) -> classify.ParsedRequest:
     name, _, rest = raw.path.removeprefix(SERVICES_PATH).partition("/")
     path = f"/{rest}"
-    # An upstream may decode or normalise a path, and then run another call than the declared one.
+    # An upstream may decode or normalise the path, and then run another call than the matched one.
     if any(part in (".", "..") for part in urllib.parse.unquote(path).split("/")):
         raise _bad_request("The path has dot segments.", "Send the path in its normal form.")
     return classify.ParsedRequest(
@@ -128,7 +128,7 @@
 
 
 def _call_digest(raw: entry_types.RawRequest) -> str:
-    """Digest a call with its target, since a key must not be reused for another call either."""
+    """Return a digest of the call with its target: a key must not be reused for another target."""
     target = f"{raw.method} {raw.path}?{raw.query}\0".encode("utf-8", "surrogateescape")
     return hashlib.sha256(target + raw.body).hexdigest()
 
@@ -137,7 +137,7 @@
     key = raw.headers.get(header_names.KEY.lower(), "").strip()
     if len(key) > _KEY_CHARACTERS or not (key.isascii() and key.isprintable()):
         raise _bad_request(
-            "The Idempotency-Key can't be used.",
+            "The Idempotency-Key is invalid.",
             f"Send at most {_KEY_CHARACTERS} printable ASCII characters, such as a UUIDv7.",
         )
     return key
--- a/src/medlarfork/filters/plain_call.py
+++ b/src/medlarfork/filters/plain_call.py
@@ -1,4 +1,4 @@
-"""Match requests to the declared calls of a plain service, and say which may run twice."""
+"""Matches requests to the declared calls of a plain service, which state what is repeatable."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def find(
     calls: Iterable[configurations.Call], method: str, path: str
 ) -> configurations.Call | None:
-    """Return the first of a service's calls that a request matches, if any."""
+    """Return the first of a service's calls that matches a request, if any."""
     normal = None
     for call in calls:
         if call.method not in ("*", method):
@@ -31,14 +31,14 @@
 
 
 def is_repeatable(call: configurations.Call | None, method: str) -> bool:
-    """Return whether a request may run twice, given the call that it matched."""
+    """Return whether a request is repeatable, given the call that it matched."""
     if call is not None:
         return call.repeatable
     return method in IDEMPOTENT_METHODS
 
 
 def normal_path(path: str) -> str:
-    """Return one spelling for all paths that a service may take to be the same.
+    """Return the normal form of a path, one for all spellings that a service may treat as equal.
 
     Otherwise a caller could evade a declared call by writing ``//holds`` or ``/%68olds``.
     """
@@ -47,7 +47,7 @@
 
 
 def path_matches(pattern: str, path: str) -> bool:
-    """Return whether a normal path matches; ``*`` stands for any run of characters."""
+    """Return whether a normalised path matches; ``*`` matches any number of characters."""
     first, *others = _pieces(pattern)
     if not others:
         return path == first
--- a/src/medlarfork/filters/record.py
+++ b/src/medlarfork/filters/record.py
@@ -1,4 +1,4 @@
-"""Record what became of a request: the last filter of the line."""
+"""Builds the record of a finished request: the last filter of the request pipeline."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from medlarfork.entry import entry_flow, entry_types
 
 CALLER_GONE_STATUS = 499
-"""Status recorded for a request whose caller closed its connection."""
+"""Status recorded for a request whose caller disconnected."""
 
 CALLER_GONE_CODE = "caller_gone"
 
@@ -15,7 +15,7 @@
 def refused(
     answer: entry_types.Answer, error: errors.MedlarError, revision: int
 ) -> entry_types.Record:
-    """Return the record of a request that was refused before it was classified and admitted."""
+    """Return the record of a request that was refused before classification and admission."""
     return entry_types.Record(
         request_id=answer.request_id,
         account="",
@@ -43,19 +43,19 @@
     code: str = "",
 ) -> entry_types.Record:
     """Return the record of a request that has its final answer."""
-    asked = flow.asked
-    whole_s = now - asked.arrived_at
+    incoming = flow.asked
+    whole_s = now - incoming.arrived_at
     first_token_s = None
     if flow.first_byte_at is not None:
-        first_token_s = flow.first_byte_at - asked.arrived_at
+        first_token_s = flow.first_byte_at - incoming.arrived_at
     in_target = _in_target(flow.request_class, first_token_s, whole_s)
     if in_target is not None and (code or status >= 500):
         in_target = False
     return entry_types.Record(
-        request_id=asked.request_id,
-        account=asked.account,
-        class_name=asked.class_name,
-        service=asked.service,
+        request_id=incoming.request_id,
+        account=incoming.account,
+        class_name=incoming.class_name,
+        service=incoming.service,
         outcome=outcome,
         status=status,
         code=code,
@@ -77,7 +77,7 @@
     whole_target_s = request_class.whole_target_s
     if first_target_s is None and whole_target_s is None:
         return None
-    # An answer that is assembled here reaches the caller in one piece at its end.
+    # An assembled answer reaches the caller in one piece when it is complete.
     first_s = whole_s if first_token_s is None else first_token_s
     in_first = first_target_s is None or first_s <= first_target_s
     return in_first and (whole_target_s is None or whole_s <= whole_target_s)
--- a/src/medlarfork/filters/retry_rules.py
+++ b/src/medlarfork/filters/retry_rules.py
@@ -1,4 +1,4 @@
-"""Decide what follows when an attempt at an upstream has ended."""
+"""Decides whether a request is complete, retried or failed after an attempt has ended."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from medlarfork.filters import answers
 
 _SERVICES_LIMIT = 1024
-"""Services whose budgets are remembered; the one idle for longest is forgotten first."""
+"""Maximum number of services with a budget; the least recently used one is evicted first."""
 
 
 class RetryBudgets:
-    """Allow retries as a share of each service's requests, so that they can't multiply load."""
+    """Limits retries to a share of each service's requests, so that they can't multiply load."""
 
     def __init__(self, *, share: float, burst: float) -> None:
         """Allow ``share`` retries for each request, and ``burst`` at once."""
@@ -40,13 +40,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedAttempt:
-    """Gather what decides about an ended attempt.
+    """The decision inputs for an ended attempt.
 
     Attributes:
-        event: How it ended.
+        event: How the attempt ended.
         relayed: Whether any byte of an answer has reached the caller.
         repeatable: Whether the request may run more than once.
-        started: Whether bytes of this very attempt were relayed.
+        started: Whether bytes of this attempt were relayed.
     """
 
     event: entry_types.AttemptEnded
@@ -57,18 +57,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Complete:
-    """Say that the whole answer is there."""
+    """The answer is complete."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Requeue:
-    """Say that the request may queue again.
+    """The request may be queued again.
 
     Attributes:
         resume_offset: Tokens to keep.
-        discarded: Tokens computed in vain.
+        discarded: Tokens that were computed but can't be used.
         ran: Whether the attempt may have run.
-        otherwise: What to answer if it can't queue again.
+        otherwise: The error to answer with if it can't be queued again.
     """
 
     resume_offset: int
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fail:
-    """Say that the request can't go on; it may have run."""
+    """The request has failed; it may have run."""
 
     error: errors.RequestRefusedError
 
@@ -88,12 +88,12 @@
 
 
 def decide(ended: EndedAttempt) -> Decision:
-    """Return what an ended attempt allows, budgets and deadline aside."""
+    """Return the decision for an ended attempt; budget and deadline are checked separately."""
     event = ended.event
     match event.result:
         case entry_types.AttemptResult.COMPLETE:
             return Complete()
-        # Bytes of an answer contradict a refusal, so the request may have run after all.
+        # Bytes of an answer contradict a refusal: then the request may have run.
         case (
             entry_types.AttemptResult.REFUSED | entry_types.AttemptResult.NOT_SENT
         ) if not ended.started:
--- a/src/medlarfork/gateway/__init__.py
+++ b/src/medlarfork/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Entry hosts of a routed deployment: from a caller's request to the upstream's answer."""
+"""Entry hosts of a routed deployment: they forward callers' requests to upstreams."""
--- a/src/medlarfork/gateway/attempt_sender.py
+++ b/src/medlarfork/gateway/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Send the attempts of one request: build the call, count it, read what its upstream says."""
+"""Sends the attempts of one request, and records usage and backpressure signals."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class AttemptSender:
-    """Hold what all attempts of a request share."""
+    """Sends the attempts of one request and counts it once for its client account."""
 
     def __init__(
-        self, admitted: request_types.AdmittedRequest, tools: request_types.SharedContext
+        self, admitted: request_types.AdmittedRequest, shared: request_types.SharedContext
     ) -> None:
-        """Prepare; nothing is sent yet."""
+        """Create the sender; nothing is sent yet."""
         self._admitted = admitted
-        self._tools = tools
+        self._shared = shared
         self._is_counted = False
 
     async def send(
@@ -30,24 +30,25 @@
         last_event_id: str,
         left_ms: float,
     ) -> http_client.Response | upstream_call.Failure:
-        """Send the request to an upstream; return its answer once the head is in.
+        """Send the request to an upstream; return the response once its head has arrived.
 
-        One without a prompt begins to run when it is sent, if it is taken.
+        A request without a prompt counts as started when it is sent, unless the upstream rejects
+        it.
 
         Args:
-            upstream: The incarnation that alone may run it.
-            fetch_from: Address of an upstream that holds more of the prompt; empty for none.
-            last_event_id: The last event that the caller has; empty for none.
-            left_ms: Time until the caller gives up, in milliseconds.
+            upstream: The only incarnation that may run the request.
+            fetch_from: Address of an upstream that caches more of the prompt; empty for none.
+            last_event_id: The last event that the caller has received; empty for none.
+            left_ms: Time until the deadline, in milliseconds.
         """
-        if not self._tools.backpressure.may_send(upstream.upstream_id):
-            why = "takes no request from here now"
+        if not self._shared.backpressure.may_send(upstream.upstream_id):
+            why = "accepts no request from this host now"
             return upstream_call.Failure(placement_messages.RunEnd.NOT_SENT, why)
         call = self._call(upstream, fetch_from, last_event_id, left_ms)
         if self._is_counted or self._admitted.route.has_prompt:
             return await self._send(call, upstream.upstream_id)
-        send = self._tools.usage.record_sent(self._admitted.account)
-        # Given up in the middle, it counts as taken.
+        send = self._shared.usage.record_sent(self._admitted.account)
+        # A send that is cancelled counts as started.
         self._is_counted = True
         try:
             sent = await self._send(call, upstream.upstream_id)
@@ -56,31 +57,33 @@
                 or sent.end is placement_messages.RunEnd.BROKEN
             )
         finally:
-            self._tools.usage.record_outcome(send, has_started=self._is_counted)
+            self._shared.usage.record_outcome(send, has_started=self._is_counted)
         return sent
 
     def count_started(self) -> None:
-        """Count the request once for its client account, however often it runs."""
+        """Count the request for its client account, once for all its attempts."""
         if not self._is_counted:
             self._is_counted = True
-            self._tools.usage.record_started(self._admitted.account)
+            self._shared.usage.record_started(self._admitted.account)
 
     async def _send(
         self, call: upstream_call.Call, upstream_id: str
     ) -> http_client.Response | upstream_call.Failure:
-        note_head = functools.partial(self._note_head, upstream_id, time.monotonic())
-        may_send = functools.partial(self._tools.backpressure.may_send, upstream_id)
+        on_head = functools.partial(self._record_head, upstream_id, time.monotonic())
+        may_send = functools.partial(self._shared.backpressure.may_send, upstream_id)
         return await upstream_call.send(
-            self._tools.client, call, self._tools.names, note_head, may_send
+            self._shared.client, call, self._shared.names, on_head, may_send
         )
 
-    def _note_head(self, upstream_id: str, sent_at: float, response: http_client.Response) -> None:
-        self._tools.backpressure.record_response(
+    def _record_head(
+        self, upstream_id: str, sent_at: float, response: http_client.Response
+    ) -> None:
+        self._shared.backpressure.record_response(
             upstream_id,
             response.status,
             response.headers,
             sent_at=sent_at,
-            attempt_id=self._admitted.facts.attempt_id,
+            attempt_id=self._admitted.metadata.attempt_id,
         )
 
     def _call(
@@ -94,7 +97,7 @@
         head = admitted.exchange.head
         headers = request_metadata.upstream_headers(
             head.headers,
-            self._tools.names,
+            self._shared.names,
             upstream_id=upstream.own_name,
             left_ms=left_ms,
             account=admitted.account,
@@ -109,6 +112,6 @@
             target=head.target,
             headers=headers,
             body=admitted.body,
-            attempt_id=admitted.facts.attempt_id,
+            attempt_id=admitted.metadata.attempt_id,
             timeout_s=max(left_ms, 1.0) / 1000.0,
         )
