--- a/src/medlarfork/gateway/crash_tracker.py
+++ b/src/medlarfork/gateway/crash_tracker.py
@@ -1,8 +1,8 @@
-"""Watch for requests that end the upstreams that run them, and say whether one may run.
+"""Tracks requests that crash the upstreams that run them, and decides whether one may run.
 
-After each run that broke it looks whether its upstream still listens: a connection that was reset
-tells nothing of a process. What it finds it tells all replicas, and hears from them what other
-entry hosts found.
+After a broken run it probes whether the upstream still listens, since a reset connection does not
+show whether the process has crashed. Crashes found here are reported to all replicas, which report
+those found by other entry hosts.
 """
 
 from __future__ import annotations
@@ -25,23 +25,25 @@
 _log = logging.getLogger(__name__)
 
 PROBE_TIMEOUT_S = 0.3
-"""How long an upstream whose run broke may take to accept a connection, in seconds: one that has
-ended refuses within a round trip, and what is silent longer is cut off or without power."""
+"""Timeout of the probe of an upstream whose run broke, in seconds: a crashed process refuses the
+connection within a round trip, and one that is silent for longer is unreachable or without
+power."""
 
 REPLACEMENT_WINDOW_S = 15.0
-"""How long an upstream that still listened is watched for a later start in its place, in seconds:
-it may have been that start that listened. Upstreams are back within some seconds."""
+"""Time within which a new incarnation in place of an upstream counts as its crash, in seconds, even
+if a probe was accepted: the new incarnation may have accepted it. Upstreams restart within a few
+seconds."""
 
 MAX_PENDING_KEYS = 200
-"""Requests remembered of one such upstream: more than run there at once."""
+"""Maximum number of requests kept for one such upstream: more than run there at once."""
 
 MAX_COMPLETIONS = 20_000
-"""Requests remembered that were answered whole, about 3 MB: ten minutes at 30 a second."""
+"""Maximum number of completed requests kept, about 3 MB: ten minutes at 30 a second."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Look:
-    """Hold the requests whose runs broke at an upstream that is being looked at."""
+class _Probe:
+    """The requests whose runs broke at an upstream that is being probed."""
 
     keys: list[str]
     done: curio.Event = dataclasses.field(default_factory=curio.Event)
@@ -49,14 +51,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Pending:
-    """Hold the requests whose runs ended at an upstream that may have ended, and when they did."""
+    """The requests whose runs ended at a possibly crashed upstream, and when they ended."""
 
     upstream: upstream_types.Announcement
     at_by_key: dict[str, float]
 
 
 class CrashTracker:
-    """Keep this entry host's ledger of requests that ended upstreams."""
+    """This entry host's record of requests that crashed upstreams."""
 
     def __init__(
         self,
@@ -64,104 +66,110 @@
         session: entry_session.EntrySession,
         send: Callable[[str, crash_messages.CrashReport], bool],
     ) -> None:
-        """Use the client of the upstreams, what the replicas tell, and a link to send by."""
+        """Create a tracker without cases.
+
+        Args:
+            client: Probes upstreams.
+            session: Lists replicas and upstreams.
+            send: Sends a message to a replica.
+        """
         self._client = client
         self._session = session
         self._ledger = crash_ledger.CrashLedger()
-        self._news = replica_reporter.ReplicaReporter(
-            session, send, self._ledger.report, retell_s=crash_messages.RESEND_WINDOW_S
+        self._reporter = replica_reporter.ReplicaReporter(
+            session, send, self._ledger.report, resend_s=crash_messages.RESEND_WINDOW_S
         )
-        self._look_by_upstream: dict[str, _Look] = {}
+        self._probe_by_upstream: dict[str, _Probe] = {}
         self._pending_by_upstream: dict[str, _Pending] = {}
-        self._survived_at_by_key: collections.OrderedDict[str, float] = collections.OrderedDict()
+        self._completed_at_by_key: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     @property
     def cases(self) -> int:
-        """Return how many requests are known under which upstreams ended."""
+        """Return the number of requests with known upstream crashes."""
         return len(self._ledger)
 
     def standing(self, key: str) -> crash_ledger.Standing:
-        """Return whether a request may run."""
+        """Return the verdict on a request: whether it may run, only on trial, or not at all."""
         return self._ledger.standing(key, _now())
 
     async def handle_broken_run(
         self, admitted: request_types.AdmittedRequest, upstream: upstream_types.Announcement
     ) -> None:
-        """Note a run without a whole answer; its upstream is looked at once for all that broke."""
+        """Handle a run without a complete answer; runs that break together share one probe."""
         logs.event(
             _log,
             "run_broken",
-            request=admitted.facts.attempt_id or None,
+            request=admitted.metadata.attempt_id or None,
             key=admitted.key,
             account=admitted.account or None,
             upstream=upstream.upstream_id,
         )
-        look = self._look_by_upstream.get(upstream.upstream_id)
-        if look is not None:
-            look.keys.append(admitted.key)
+        probe = self._probe_by_upstream.get(upstream.upstream_id)
+        if probe is not None:
+            probe.keys.append(admitted.key)
             return
-        self._look_by_upstream[upstream.upstream_id] = _Look([admitted.key])
-        await curio.spawn(self._look, upstream, daemon=True)
+        self._probe_by_upstream[upstream.upstream_id] = _Probe([admitted.key])
+        await curio.spawn(self._probe, upstream, daemon=True)
 
     def record_abandoned_run(self, key: str, upstream: upstream_types.Announcement) -> None:
-        """Note a run that nobody waits for any more: its upstream may have ended without a word."""
-        self._watch(upstream, {key: _now()})
+        """Record a run whose caller no longer waits: its upstream may have lost power unnoticed."""
+        self._await_replacement(upstream, {key: _now()})
 
     async def wait_probed(self, upstream_id: str) -> None:
-        """Wait until it is known whether an upstream whose run broke has ended."""
-        look = self._look_by_upstream.get(upstream_id)
-        if look is not None:
-            await look.done.wait()
+        """Wait until the running probe of an upstream, if any, has finished."""
+        probe = self._probe_by_upstream.get(upstream_id)
+        if probe is not None:
+            await probe.done.wait()
 
-    async def is_suspect(self, key: str, upstream_id: str, own_breaks: int) -> bool:
-        """Say whether a request is not to be sent on, since upstreams ended under it.
+    async def is_suspect(self, key: str, upstream_id: str, broken_runs: int) -> bool:
+        """Return whether a request must not be retried, because upstreams crashed while running it.
 
-        Only after a second break of its own it waits for what the look at the upstream brings, so
-        that a request whose first upstream was lost goes on at once, on trial if others like it
-        lost another one.
+        After its first broken run only a held request is stopped. Any other is retried at once, on
+        trial if requests with the same key crashed another upstream. After the second one this
+        waits for the probe, and a request that may only run on trial is stopped, too.
 
         Args:
             key: The request's key.
-            upstream_id: Where it ran last.
-            own_breaks: How many of its own runs broke.
+            upstream_id: The upstream of its last run.
+            broken_runs: Number of its own broken runs.
         """
-        if own_breaks <= 1:
+        if broken_runs <= 1:
             return self.standing(key).verdict is crash_ledger.Verdict.HELD
         await self.wait_probed(upstream_id)
         return self.standing(key).verdict is not crash_ledger.Verdict.FREE
 
     def record_completed_run(self, key: str) -> None:
-        """Note that an upstream answered a request whole."""
+        """Record that an upstream answered a request completely."""
         now = _now()
-        self._survived_at_by_key[key] = now
-        self._survived_at_by_key.move_to_end(key)
-        if len(self._survived_at_by_key) > MAX_COMPLETIONS:
-            self._survived_at_by_key.popitem(last=False)
+        self._completed_at_by_key[key] = now
+        self._completed_at_by_key.move_to_end(key)
+        if len(self._completed_at_by_key) > MAX_COMPLETIONS:
+            self._completed_at_by_key.popitem(last=False)
         if self._ledger.record_completion(key, now, now):
-            self._news.tell((key,), now)
+            self._reporter.report((key,), now)
 
-    def take(self, report: crash_messages.CrashReport) -> None:
-        """Take what a replica tells; answer with what this host knows better."""
+    def apply_report(self, report: crash_messages.CrashReport) -> None:
+        """Merge a replica's report; report back requests that have completed on this host."""
         now = _now()
         changed = self._ledger.merge(report, now)
-        self._note("told", changed)
+        self._log_cases("told", changed)
         cleared = tuple(
             key
             for key in changed
-            if key in self._survived_at_by_key
-            and self._ledger.record_completion(key, self._survived_at_by_key[key], now)
+            if key in self._completed_at_by_key
+            and self._ledger.record_completion(key, self._completed_at_by_key[key], now)
         )
-        self._news.tell(cleared, now)
+        self._reporter.report(cleared, now)
 
     def check_replacements(self) -> None:
-        """Look whether other starts took the place of upstreams that seemed to live on."""
+        """Record crashes of pending upstreams that a new incarnation has replaced."""
         now = _now()
         for upstream_id, pending in tuple(self._pending_by_upstream.items()):
             recent = {
                 key: at for key, at in pending.at_by_key.items() if now <= at + REPLACEMENT_WINDOW_S
             }
             if self._is_replaced(pending.upstream):
-                self._note_ends(upstream_id, recent)
+                self._record_crashes(upstream_id, recent)
                 recent = {}
             if recent:
                 kept = dataclasses.replace(pending, at_by_key=recent)
@@ -170,52 +178,54 @@
                 del self._pending_by_upstream[upstream_id]
 
     def sync_if_restarted(self, replica_id: str, up_s: float) -> None:
-        """Tell a replica that has started, or that was not heard before, all that is known."""
-        self._news.sync_if_restarted(replica_id, up_s, self._ledger.known(), _now())
+        """Send all known cases to a replica that has restarted or was not known before."""
+        self._reporter.sync_if_restarted(replica_id, up_s, self._ledger.known(), _now())
 
-    def on_time(self) -> None:
-        """Tell again what is new, and forget what is old; called with each status."""
+    def on_tick(self) -> None:
+        """Resend recent changes and evict expired cases; called with each status."""
         now = _now()
-        self._news.resend(now)
+        self._reporter.resend(now)
         self._ledger.tidy(now)
         self.check_replacements()
 
-    async def _look(self, upstream: upstream_types.Announcement) -> None:
-        broke_at = _now()
-        look = self._look_by_upstream[upstream.upstream_id]
+    async def _probe(self, upstream: upstream_types.Announcement) -> None:
+        broken_at = _now()
+        probe = self._probe_by_upstream[upstream.upstream_id]
         try:
             reach = await self._client.reach(f"http://{upstream.address}", within_s=PROBE_TIMEOUT_S)
-            self._judge(upstream, look, reach, broke_at)
+            self._apply_probe(upstream, probe, reach, broken_at)
         finally:
-            del self._look_by_upstream[upstream.upstream_id]
-            await look.done.set()
+            del self._probe_by_upstream[upstream.upstream_id]
+            await probe.done.set()
 
-    def _judge(
+    def _apply_probe(
         self,
         upstream: upstream_types.Announcement,
-        look: _Look,
+        probe: _Probe,
         reach: http_client.Reach,
-        broke_at: float,
+        broken_at: float,
     ) -> None:
-        """Note the end of an upstream, or watch it if it seems to live on."""
+        """Record a crash, or wait for a replacement if the upstream accepted the probe."""
         logs.event(
             _log,
             "upstream_looked_at",
             upstream=upstream.upstream_id,
             reach=reach.value,
-            runs=len(look.keys),
+            runs=len(probe.keys),
         )
-        at_by_key = dict.fromkeys(look.keys, broke_at)
+        at_by_key = dict.fromkeys(probe.keys, broken_at)
         if reach is http_client.Reach.ACCEPTS:
-            self._watch(upstream, at_by_key)
+            self._await_replacement(upstream, at_by_key)
         else:
-            # What is undecided counts too: it must not go on without end, and an answer clears it.
-            self._note_ends(upstream.upstream_id, at_by_key)
+            # An unclear result counts as a crash, too: retries must end, and an answer clears it.
+            self._record_crashes(upstream.upstream_id, at_by_key)
 
-    def _watch(self, upstream: upstream_types.Announcement, at_by_key: dict[str, float]) -> None:
-        """Count an end of an upstream if another start takes its place soon."""
-        before = self._pending_by_upstream.get(upstream.upstream_id)
-        known = {} if before is None else before.at_by_key
+    def _await_replacement(
+        self, upstream: upstream_types.Announcement, at_by_key: dict[str, float]
+    ) -> None:
+        """Count a crash if a new incarnation replaces the upstream soon."""
+        previous = self._pending_by_upstream.get(upstream.upstream_id)
+        known = {} if previous is None else previous.at_by_key
         latest = list((known | at_by_key).items())[-MAX_PENDING_KEYS:]
         self._pending_by_upstream[upstream.upstream_id] = _Pending(upstream, dict(latest))
 
@@ -226,26 +236,26 @@
             for item in present.values()
         )
 
-    def _note_ends(self, upstream_id: str, at_by_key: dict[str, float]) -> None:
+    def _record_crashes(self, upstream_id: str, at_by_key: dict[str, float]) -> None:
         now = _now()
-        news = tuple(
+        new_keys = tuple(
             key
             for key, at in at_by_key.items()
             if not self._is_shielded(key, at)
             and self._ledger.record_crash(key, upstream_id, at, now)
         )
-        self._note("seen", news)
-        self._news.tell(news, now)
+        self._log_cases("seen", new_keys)
+        self._reporter.report(new_keys, now)
 
     def _is_shielded(self, key: str, at: float) -> bool:
-        """Return whether this host had a whole answer shortly before an upstream ended.
+        """Return whether a request completed here shortly before an upstream crashed.
 
-        The ledger knows of answers only where it has a case already.
+        The ledger records completions only of requests that already have a case.
         """
-        survived_at = self._survived_at_by_key.get(key, -math.inf)
-        return at <= survived_at + crash_ledger.EXONERATION_S
+        completed_at = self._completed_at_by_key.get(key, -math.inf)
+        return at <= completed_at + crash_ledger.EXONERATION_S
 
-    def _note(self, how: str, keys: tuple[str, ...]) -> None:
+    def _log_cases(self, how: str, keys: tuple[str, ...]) -> None:
         for key in keys:
             standing = self.standing(key)
             ends = self._ledger.ends(key)
--- a/src/medlarfork/gateway/gap_recorder.py
+++ b/src/medlarfork/gateway/gap_recorder.py
@@ -1,43 +1,43 @@
-"""Note the pauses between the events of one stream: they tell how its engine works."""
+"""Records the inter-event gaps of one stream, which show the load of its engine."""
 
 from __future__ import annotations
 
 from medlarfork.placement import placement_messages
 
 MIN_EVENTS = 4
-"""Events from which a stream's pauses are told: fewer have no usual one."""
+"""Minimum number of events for a summary; fewer give no representative median."""
 
 MAX_GAPS = 256
-"""Pauses that are remembered of one stream, the first ones, which bounds memory."""
+"""Number of gaps stored for one stream, the first ones; bounds memory."""
 
 
 class GapRecorder:
-    """Collect the pauses of one attempt."""
+    """Collects the inter-event gaps of one attempt."""
 
     def __init__(self) -> None:
         """Start before the first event."""
         self._event_at = 0.0
         self._longest_ms = 0.0
-        self._pauses_ms: list[float] = []
-
-    def note_event(self, now: float) -> float:
-        """Note that an event is passed on at a monotonic time; return the pause before it in ms."""
-        pause_ms = (now - self._event_at) * 1000.0 if self._event_at else 0.0
-        if self._event_at and len(self._pauses_ms) < MAX_GAPS:
-            self._pauses_ms.append(pause_ms)
-        self._longest_ms = max(self._longest_ms, pause_ms)
+        self._gaps_ms: list[float] = []
+
+    def record_event(self, now: float) -> float:
+        """Record an event passed on at a monotonic time; return the gap before it in ms."""
+        gap_ms = (now - self._event_at) * 1000.0 if self._event_at else 0.0
+        if self._event_at and len(self._gaps_ms) < MAX_GAPS:
+            self._gaps_ms.append(gap_ms)
+        self._longest_ms = max(self._longest_ms, gap_ms)
         self._event_at = now
-        return pause_ms
+        return gap_ms
 
-    def whole(self) -> placement_messages.InterEventGaps | None:
-        """Return the pauses; None if there were too few events."""
-        if len(self._pauses_ms) < MIN_EVENTS - 1:
+    def summary(self) -> placement_messages.InterEventGaps | None:
+        """Return the median and the longest gap; None if there were too few events."""
+        if len(self._gaps_ms) < MIN_EVENTS - 1:
             return None
-        return placement_messages.InterEventGaps(_median(self._pauses_ms), self._longest_ms)
+        return placement_messages.InterEventGaps(_median(self._gaps_ms), self._longest_ms)
 
 
 def _median(values: list[float]) -> float:
-    """Return the median; the standard library's costs an entry host's start five modules."""
+    """Return the median; the standard library's costs an entry host five modules at start-up."""
     ordered = sorted(values)
     count = len(ordered)
     return (ordered[(count - 1) // 2] + ordered[count // 2]) / 2.0
--- a/src/medlarfork/gateway/gateway_metrics.py
+++ b/src/medlarfork/gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Count and time the requests of an entry host of a routed deployment."""
+"""Metrics of an entry host of a routed deployment: requests by status, and their duration."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class GatewayMetrics:
-    """Keep the metrics of one entry host.
+    """The metrics of one entry host.
 
     Attributes:
-        process: The instruments' process, which answers requests for them.
+        process: The registry of the instruments, which also serves them over HTTP.
     """
 
     def __init__(self, read_gauges: gauges.ReadGauges) -> None:
-        """Make the instruments; ``read_gauges`` is called when they are rendered."""
+        """Create the instruments; ``read_gauges`` is called when they are rendered."""
         self.process = process_metrics.ProcessMetrics("medlarfork.gateway", read_gauges)
         self._requests = self.process.tally(
             "medlar_routed_requests", "Requests finished.", ("account", "class", "status")
--- a/src/medlarfork/gateway/gateway_program.py
+++ b/src/medlarfork/gateway/gateway_program.py
@@ -1,4 +1,4 @@
-"""Run an entry host of a routed deployment: wire its parts to callers, upstreams and replicas."""
+"""The entry host process of a routed deployment: its sockets, tasks and message handling."""
 
 from __future__ import annotations
 
@@ -42,79 +42,80 @@
 _log = logging.getLogger(__name__)
 
 DIRECTORY_LAG_S = 3.2
-"""How long callers may still come after this host has left the directory, in seconds: an answer
-of 2 s that some keep for longer, against a grace of which most is left for streams."""
+"""How long callers may still connect after this host has left the directory, in seconds: directory
+answers are valid for 2 s, and some callers keep them for longer. Most of the grace period is left
+for streams."""
 
 EXIT_MARGIN_S = 0.6
-"""Time before the end of the grace at which whatever is left is cut, in seconds."""
+"""Time before the end of the grace period at which remaining requests are cut, in seconds."""
 
 CALLER_LIMITS = http_server.HttpLimits(stall_s=5.0, unacknowledged_s=4.0)
-"""What callers may use; 4 s without an acknowledgement is a connection that is gone."""
+"""Limits for callers; a connection without an acknowledgement for 4 s counts as lost."""
 
 UPSTREAM_LIMITS = http_client.ClientLimits(connect_s=1.0, idle_s=20.0, unacknowledged_s=1.5)
-"""What upstreams may use; 1.5 s without an acknowledgement is many round trips in one region."""
+"""Limits for upstreams; 1.5 s without an acknowledgement is many round trips in one region."""
 
 Decode = Callable[[bytes], routing.Routing]
-"""Decodes an operator's body that a replica has checked."""
+"""Decodes a routing body that a replica has validated."""
 
 ReadSeeds = Callable[[], tuple[str, ...]]
-"""Reads the seeds that the settings name now."""
+"""Reads the current seeds from the settings."""
 
 
 class GatewayProgram:
-    """Own the sockets and tasks of an entry host."""
+    """The sockets and tasks of an entry host."""
 
     def __init__(
         self,
-        given: gateway_settings.GatewaySettings,
+        settings: gateway_settings.GatewaySettings,
         *,
         names: request_header_names.RequestHeaderNames,
         decode: Decode,
         read_seeds: ReadSeeds,
-        opened: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> None:
-        """Wire the parts; nothing is opened before ``start``.
+        """Create the components; nothing is opened before ``start``.
 
         Args:
-            given: The settings.
-            names: Headers in which callers and upstreams speak.
-            decode: Decodes an operator's body.
-            read_seeds: Reads the replicas that the settings name now.
-            opened: Socket that listens for callers already; None to open it at ``start``.
+            settings: The settings.
+            names: Names of the headers of callers and upstreams.
+            decode: Decodes a routing body.
+            read_seeds: Reads the current seeds from the settings.
+            listening_socket: Socket that listens for callers; None to open one in ``start``.
         """
-        self._given = given
+        self._settings = settings
         self._decode = decode
         self._read_seeds = read_seeds
-        self._session = entry_session.EntrySession(given.seeds)
-        self._link = _make_link(given)
-        self._holds = request_hold.HoldQueue()
+        self._session = entry_session.EntrySession(settings.seeds)
+        self._link = _make_link(settings)
+        self._hold_queue = request_hold.HoldQueue()
         self._backpressure = backpressure_tracker.BackpressureTracker(
-            given.entry_id, names, self._session, self._link.send
+            settings.entry_id, names, self._session, self._link.send
         )
         self._owner = owner_client.OwnerClient(
-            given.entry_id,
+            settings.entry_id,
             self._session,
             self._link.send,
-            self._holds,
+            self._hold_queue,
             self._backpressure.gate,
             self._backpressure.send_known_signals,
         )
         self._client = http_client.HttpClient(limits=UPSTREAM_LIMITS)
         self._crashes = crash_tracker.CrashTracker(self._client, self._session, self._link.send)
-        self._usage = self._make_usage() if given.usage_window_s else None
+        self._usage = self._make_usage_reporter() if settings.usage_window_s else None
         self._metrics = gateway_metrics.GatewayMetrics(self._gauges)
         self._handler = self._make_handler(names)
         self._server = http_server.at_address(
-            self._handler.handle, given.serve, CALLER_LIMITS, opened
+            self._handler.handle, settings.serve, CALLER_LIMITS, listening_socket
         )
         self._health = (
-            http_server.at_address(self._serve_health, given.health) if given.health else None
+            http_server.at_address(self._serve_health, settings.health) if settings.health else None
         )
         self._tasks = curio.TaskGroup()
 
     @property
     def is_ready(self) -> bool:
-        """Return whether callers may be sent to this host."""
+        """Return whether the directory may list this host."""
         return self._handler.has_routing and not self._handler.is_stopping
 
     async def start(self) -> None:
@@ -126,26 +127,26 @@
         if self._health is not None:
             await self._health.start()
         await self._tasks.spawn(self._receive)
-        await self._tasks.spawn(self._tell_replicas)
+        await self._tasks.spawn(self._run_periodic_tasks)
         if self._usage is not None:
             await self._tasks.spawn(self._usage.report_periodically, self._session)
-        logs.event(_log, "started", entry=self._given.entry_id, serve=self._given.serve)
+        logs.event(_log, "started", entry=self._settings.entry_id, serve=self._settings.serve)
 
     async def stop(self) -> None:
-        """Leave the directory, go on serving for as long as callers may come, then finish."""
-        began_at = time.monotonic()
+        """Leave the directory, serve while callers may still connect, then drain."""
+        started_at = time.monotonic()
         logs.event(_log, "stopping", exchanges=self._server.exchanges)
         self._handler.is_stopping = True
         self._send_status(self._session.replicas)
-        await curio.sleep(min(DIRECTORY_LAG_S, self._given.grace_s / 2))
-        left_s = self._given.grace_s - EXIT_MARGIN_S - (time.monotonic() - began_at)
+        await curio.sleep(min(DIRECTORY_LAG_S, self._settings.grace_s / 2))
+        left_s = self._settings.grace_s - EXIT_MARGIN_S - (time.monotonic() - started_at)
         await self._server.close(within_s=max(left_s, 0.0))
 
     async def close(self) -> None:
         """Close everything."""
         await self._server.close(within_s=0.0)
         if self._usage is not None:
-            self._usage.tell(self._session.leader_id)
+            self._usage.report(self._session.leader_id)
         if self._health is not None:
             await self._health.close(within_s=0.0)
         await self._tasks.cancel_remaining()
@@ -155,7 +156,7 @@
         logs.event(_log, "stopped")
 
     def reload(self) -> None:
-        """Take the seeds that the settings name now."""
+        """Read the seeds from the settings again and connect to them."""
         seeds = self._read_seeds()
         self._session.add_seeds(seeds)
         self._connect_replicas()
@@ -165,39 +166,39 @@
         self, names: request_header_names.RequestHeaderNames
     ) -> request_handler.RequestHandler:
         return request_handler.RequestHandler(
-            zone=self._given.zone,
+            zone=self._settings.zone,
             names=names,
             client=self._client,
             session=self._session,
             owner=self._owner,
-            holds=self._holds,
+            hold_queue=self._hold_queue,
             crashes=self._crashes,
             backpressure=self._backpressure,
             usage=self._usage or request_types.NullUsageRecorder(),
-            rules=self._given.budget,
+            rules=self._settings.budget,
             metrics=self._metrics,
         )
 
-    def _make_usage(self) -> usage_reporter.UsageReporter:
-        # Loaded only where usage is told: it would make every other start longer.
+    def _make_usage_reporter(self) -> usage_reporter.UsageReporter:
+        # Imported only where usage is reported: it makes the start-up slower.
         from medlarfork.gateway import usage_reporter
 
-        return usage_reporter.UsageReporter(self._given.usage_window_s, self._link.send)
+        return usage_reporter.UsageReporter(self._settings.usage_window_s, self._link.send)
 
     async def _receive(self) -> None:
         while True:
             received = await self._link.receive()
-            await self._take(received.sender, received.message)
+            await self._handle_message(received.sender, received.message)
 
-    async def _take(self, sender: str, message: Any) -> None:
+    async def _handle_message(self, sender: str, message: Any) -> None:
         now = time.monotonic()
         match message:
             case coordination_messages.RoutingPush(version, packed_body):
                 if self._session.accept_routing(sender, version, now):
-                    self._use_routing(sender, packed_body)
-                    await self._holds.notify_change()
+                    self._apply_routing(sender, packed_body)
+                    await self._hold_queue.notify_change()
             case coordination_messages.ReplicaStatus():
-                self._session.take(sender, message, now)
+                self._session.apply_message(sender, message, now)
                 self._crashes.sync_if_restarted(sender, message.up_s)
                 self._backpressure.sync_if_restarted(sender, message.up_s)
                 if self._usage is not None:
@@ -206,32 +207,32 @@
                 self._owner.notify_owners(now)
                 await self._owner.wake_queued()
             case coordination_messages.ViewPush():
-                await self._take_view(sender, message, now)
+                await self._apply_view(sender, message, now)
             case crash_messages.CrashReport():
                 self._session.record_contact(sender, now)
-                self._crashes.take(message)
+                self._crashes.apply_report(message)
             case signal_messages.SignalReport():
                 self._session.record_contact(sender, now)
-                self._backpressure.take(message)
+                self._backpressure.apply_report(message)
             case usage_messages.UsageReceipt() if self._usage is not None:
-                self._usage.confirm(sender, message)
+                self._usage.apply_receipt(sender, message)
             case _ if type(message) in placement_messages.PLACEMENT_MESSAGES:
-                await self._owner.take(sender, message)
+                await self._owner.handle_reply(sender, message)
             case _:
                 logs.event(_log, "message_unexpected", sender=sender, kind=type(message).__name__)
 
-    async def _take_view(
+    async def _apply_view(
         self, sender: str, push: coordination_messages.ViewPush, now: float
     ) -> None:
-        """Take a change of the view, and log it if it changes which upstreams may be used."""
-        before = self._session.upstream_by_id
-        self._session.take(sender, push, now)
+        """Apply a view change; log it if it changes the usable upstreams."""
+        previous_upstreams = self._session.upstream_by_id
+        self._session.apply_message(sender, push, now)
         upstreams = self._session.upstream_by_id
-        if upstreams is before:
+        if upstreams is previous_upstreams:
             return
         self._owner.report_moved_runs(now)
         self._crashes.check_replacements()
-        await self._holds.notify_change()
+        await self._hold_queue.notify_change()
         logs.event(
             _log,
             "view",
@@ -243,26 +244,26 @@
             upstreams=len(upstreams),
         )
 
-    def _use_routing(self, sender: str, packed_body: bytes) -> None:
-        whole = self._decode(zlib.decompress(packed_body))
-        self._handler.use(whole)
+    def _apply_routing(self, sender: str, packed_body: bytes) -> None:
+        new_routing = self._decode(zlib.decompress(packed_body))
+        self._handler.apply_routing(new_routing)
         logs.event(
             _log,
             "routing_in_force",
-            version=whole.version,
+            version=new_routing.version,
             replica=sender,
-            routes=len(whole.routes),
+            routes=len(new_routing.routes),
         )
         self._send_status(self._session.replicas)
 
-    async def _tell_replicas(self) -> None:
+    async def _run_periodic_tasks(self) -> None:
         started_at = time.monotonic()
         while True:
             now = time.monotonic()
             self._session.drop_silent_replicas(now)
             self._send_status(self._session.status_recipients(now))
-            self._crashes.on_time()
-            self._backpressure.on_time()
+            self._crashes.on_tick()
+            self._backpressure.on_tick()
             self._connect_replicas()
             await curio.sleep(self._session.status_period_s(now - started_at))
 
@@ -270,8 +271,8 @@
         for replica_id in replica_ids:
             status = self._session.status_for(
                 replica_id,
-                address=self._given.serve,
-                zone=self._given.zone,
+                address=self._settings.serve,
+                zone=self._settings.zone,
                 is_ready=self.is_ready,
             )
             self._link.send(replica_id, status)
@@ -279,7 +280,7 @@
     def _connect_replicas(self) -> None:
         wanted = self._session.replicas
         for replica_id in wanted:
-            address = f"tcp://{replica_id}:{self._given.replica_link_port}"
+            address = f"tcp://{replica_id}:{self._settings.replica_link_port}"
             self._link.connect(replica_id, address)
         for replica_id in self._link.peers:
             if replica_id not in wanted:
@@ -301,24 +302,24 @@
             "connections": self._server.connections,
             "upstream_connections": self._client.connections,
             "local_placements": self._owner.local_placements,
-            "held": self._holds.held,
+            "held": self._hold_queue.held,
             "crash_cases": self._crashes.cases,
             "limited_upstreams": self._backpressure.limited,
             "link_dropped": self._link.counters.dropped,
         }
 
 
-def _make_link(given: gateway_settings.GatewaySettings) -> link.Link:
+def _make_link(settings: gateway_settings.GatewaySettings) -> link.Link:
     return link.Link(
-        identity=given.entry_id,
+        identity=settings.entry_id,
         codec=codec.Codec(routed_links.ENTRY_MESSAGES),
-        bind=f"tcp://{given.link_host}:{given.link_port}",
+        bind=f"tcp://{settings.link_host}:{settings.link_port}",
         options=routed_links.LINK_OPTIONS,
     )
 
 
 async def run_until_stopped(program: GatewayProgram) -> None:
-    """Run the program until a signal asks it to stop; a hang-up reloads the settings."""
+    """Run the program until a stop signal; SIGHUP reloads the settings."""
     signals = _stop_signal.StopSignal((*_stop_signal.STOP_SIGNALS, signal.SIGHUP))
     signals.start()
     with contextlib.closing(signals):
--- a/src/medlarfork/gateway/gateway_settings.py
+++ b/src/medlarfork/gateway/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Define the settings of an entry host of a routed deployment."""
+"""Settings of an entry host of a routed deployment."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Hold the settings of one entry host.
+    """The settings of one entry host.
 
     Attributes:
-        entry_id: Names this entry host to the replicas.
+        entry_id: Id of this entry host, by which replicas address it.
         zone: Its data centre.
-        serve: ``IP:PORT`` for callers.
+        serve: ``IP:PORT`` on which callers are served.
         health: ``IP:PORT`` for health checks and metrics; empty for none.
-        link_host: IP number for links to other processes.
-        link_port: Port of this process's own link.
-        replica_link_port: Port of every replica's link; a replica is named by its IP number.
-        seeds: Replicas to start from.
-        budget: How often requests may be sent once more, over all entry hosts.
-        grace_s: Time from the signal to stop until the process must have ended, in seconds.
-        log_level: Lowest level that is logged.
-        usage_window_s: Windows in which requests are counted for each client account, in seconds;
-            0 where nobody is told of them.
+        link_host: IP address for links to other processes.
+        link_port: Port of this process's link.
+        replica_link_port: Port of every replica's link; a replica's id is its IP address.
+        seeds: Replicas that are contacted first.
+        budget: Retry budget of each service, over all entry hosts.
+        grace_s: Grace period from the stop signal until the process must have exited, in seconds.
+        log_level: Minimum level that is logged.
+        usage_window_s: Length of the windows in which requests are counted for each client account,
+            in seconds; 0 if usage is not reported.
     """
 
     entry_id: str
--- a/src/medlarfork/gateway/owner_client.py
+++ b/src/medlarfork/gateway/owner_client.py
@@ -1,4 +1,4 @@
-"""Ask the owner of placement where to send requests, and do without it while it is silent."""
+"""Requests placement from the owning replica, and places locally while no owner replies."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 _log = logging.getLogger(__name__)
 
 OWNER_TIMEOUT_S = 0.15
-"""How long the owner may take to say anything, in seconds: many round trips, and little of the
-time within which callers expect an answer."""
+"""Timeout for the owner's first reply, in seconds: many round trips, but a small part of the time
+within which callers expect an answer."""
 
 QUEUE_CHECK_S = 0.25
-"""How often a request that waits at the owner checks that the owner is there, in seconds."""
+"""How often a request that is queued at the owner checks that it is still the owner, in seconds."""
 
 MIN_START_MS = 1.0
-"""Least bound that a second shard is given, in milliseconds; 0 stands for a first question."""
+"""Minimum start time sent to the second shard, in milliseconds; 0 marks a request to the first."""
 
 Send = Callable[[str, Any], bool]
 """Sends a message to a replica; returns whether it was queued."""
@@ -33,9 +33,22 @@
 
 @dataclasses.dataclass(slots=True)
 class _Ticket:
+    """The state of one placement request.
+
+    Attributes:
+        request: The request as it was last sent.
+        owner_id: The replica that it was sent to; empty for none.
+        owner_generation: The client's count of owner changes when it was sent.
+        is_queued: Whether it waits in the owner's queue.
+        has_started: Whether its first event has arrived.
+        answer: The owner's answer; None while it is pending.
+        changed: Set when the ticket's state has changed.
+        closed_ms_by_shard: Retry times of shards without an upstream that accepts requests.
+    """
+
     request: placement_messages.PlaceRequest
     owner_id: str = ""
-    asked_count: int = 0
+    owner_generation: int = 0
     is_queued: bool = False
     has_started: bool = False
     answer: (
@@ -48,17 +61,17 @@
 
     @property
     def is_closed(self) -> bool:
-        """Return whether it was refused since no upstream of the shard takes it now."""
+        """Return whether it was refused because no upstream of the shard accepts requests now."""
         refused = self.answer
         return (
             isinstance(refused, placement_messages.PlaceRefused)
             and refused.cause is placement_messages.RefusalCause.CLOSED
         )
 
-    def turn_from_closed(self, shards: tuple[placement_messages.Shard, ...]) -> bool:
-        """Ask a shard next that has not refused; return False if all have.
+    def try_open_shard(self, shards: tuple[placement_messages.Shard, ...]) -> bool:
+        """Select a shard that has not refused the request; return False if all have.
 
-        The refusal then says when the first of them takes the request.
+        The refusal then states when the first of them accepts requests again.
         """
         refused = self.answer
         if not isinstance(refused, placement_messages.PlaceRefused):
@@ -72,14 +85,14 @@
         self.request = dataclasses.replace(
             self.request, shard=left[0], other_shard=None, begins_within_ms=0.0, busy_shard=None
         )
-        self._forget_answer()
+        self._reset_answer()
         return True
 
-    def turn(self, begins_ms: float) -> None:
-        """Ask the other shard next: the one that may be free, and then the first one again.
+    def try_other_shard(self, start_ms: float) -> None:
+        """Select the other shard: first the second choice, and then the first one again.
 
         Args:
-            begins_ms: When the request would begin at the shard that was asked.
+            start_ms: Estimated start time at the shard that was asked.
         """
         request = self.request
         was_first = request.begins_within_ms == 0
@@ -87,43 +100,43 @@
             request,
             shard=request.other_shard,
             other_shard=request.shard if was_first else None,
-            begins_within_ms=max(begins_ms, MIN_START_MS) if was_first else 0.0,
+            begins_within_ms=max(start_ms, MIN_START_MS) if was_first else 0.0,
             busy_shard=None if was_first else request.shard,
         )
-        self._forget_answer()
+        self._reset_answer()
 
-    def _forget_answer(self) -> None:
-        """Forget who was asked and what was answered, since another shard is asked next."""
+    def _reset_answer(self) -> None:
+        """Reset owner and answer, because another shard is asked next."""
         self.owner_id = ""
         self.answer = None
         self.is_queued = False
 
 
 class OwnerClient:
-    """Hold the tickets of this entry host: those that wait and those that run."""
+    """Manages the placement tickets of this entry host, both queued and running."""
 
     def __init__(
         self,
         entry_id: str,
         session: entry_session.EntrySession,
         send: Send,
-        holds: request_hold.HoldQueue,
+        hold_queue: request_hold.HoldQueue,
         gate: send_gate.SendGate,
         send_signals: Callable[[str], None],
     ) -> None:
-        """Wire what it uses.
+        """Create a client without tickets.
 
         Args:
-            entry_id: Names this entry host.
-            session: Knows who owns what.
+            entry_id: Id of this entry host.
+            session: Knows the owner of each shard.
             send: Sends a message to a replica.
-            holds: Holds requests for which no upstream is known yet.
-            gate: Says when an upstream may get a request that is placed here.
-            send_signals: Tells a replica which signals of upstreams this host knows.
+            hold_queue: Holds requests while no upstream of their service is known.
+            gate: Decides when an upstream may get a request that is placed locally.
+            send_signals: Sends a replica the backpressure signals that this host knows.
         """
-        self._tell_signals = send_signals
+        self._send_signals = send_signals
         self._gate = gate
-        self._holds = holds
+        self._hold_queue = hold_queue
         self._entry_id = entry_id
         self._session = session
         self._send = send
@@ -131,26 +144,26 @@
         self._prefix = f"{entry_id}-{time.time_ns():x}"
         self._ticket_by_id: dict[str, _Ticket] = {}
         self._runs_by_upstream: dict[str, int] = {}
-        self._told_owner_by_shard: dict[placement_messages.Shard, str] = {}
-        self._chosen_count = 0
-        self._belief_by_service: dict[str, placement_messages.EngineEstimate] = {}
+        self._notified_owner_by_shard: dict[placement_messages.Shard, str] = {}
+        self._owner_generation = 0
+        self._estimate_by_service: dict[str, placement_messages.EngineEstimate] = {}
         self.local_placements = 0
 
     def new_ticket_id(self) -> str:
-        """Return an id that was never used before."""
+        """Return a unique ticket id."""
         self._tickets += 1
         return f"{self._prefix}-{self._tickets}"
 
     async def place(
         self, request: placement_messages.PlaceRequest
     ) -> placement_messages.Placed | placement_messages.PlaceRefused:
-        """Return where to send a request, or that it can't be served in time."""
+        """Return where to send a request, or a refusal if it can't be served in time."""
         ticket = _Ticket(request)
         self._ticket_by_id[request.ticket_id] = ticket
         try:
-            answer = await self._ask(ticket)
+            answer = await self._find_placement(ticket)
         except BaseException:
-            self.end(request.ticket_id, placement_messages.RunEnd.CANCELLED, 0.0)
+            self.report_end(request.ticket_id, placement_messages.RunEnd.CANCELLED, 0.0)
             raise
         ticket.answer = answer
         if isinstance(answer, placement_messages.PlaceRefused):
@@ -161,7 +174,7 @@
         return answer
 
     def report_first_event(self, ticket_id: str, after_ms: float) -> None:
-        """Report a stream's first event."""
+        """Report a stream's first event to the owner."""
         ticket = self._ticket_by_id.get(ticket_id)
         if ticket is None:
             return
@@ -169,14 +182,14 @@
         if ticket.owner_id:
             self._send(ticket.owner_id, placement_messages.FirstEvent(ticket_id, after_ms))
 
-    def end(
+    def report_end(
         self,
         ticket_id: str,
         end: placement_messages.RunEnd,
         after_ms: float,
         pauses: placement_messages.InterEventGaps | None = None,
     ) -> None:
-        """Report that a placed request has ended, or is not asked for any more."""
+        """Report that a placed request has ended, or that its placement is no longer needed."""
         ticket = self._ticket_by_id.pop(ticket_id, None)
         if ticket is None:
             return
@@ -190,34 +203,36 @@
             ended = placement_messages.RunEnded(ticket_id, end, after_ms, pauses)
             self._send(ticket.owner_id, ended)
 
-    async def take(self, sender: str, message: Any) -> None:
-        """Take an owner's answer."""
+    async def handle_reply(self, sender: str, message: Any) -> None:
+        """Handle an owner's reply."""
         self._session.record_contact(sender, _now())
         ticket = self._ticket_by_id.get(message.ticket_id)
         if ticket is None or ticket.answer is not None or sender != ticket.owner_id:
-            if isinstance(message, placement_messages.Placed) and not _runs_by(ticket, sender):
-                self._give_back(sender, message.ticket_id)
+            if isinstance(message, placement_messages.Placed) and not _was_placed_by(
+                ticket, sender
+            ):
+                self._release_grant(sender, message.ticket_id)
             return
         match message:
             case placement_messages.Queued():
                 ticket.is_queued = True
-            case placement_messages.Placed(belief=belief) if belief is not None:
+            case placement_messages.Placed(belief=estimate) if estimate is not None:
                 ticket.answer = message
-                self._belief_by_service[ticket.request.service] = belief
+                self._estimate_by_service[ticket.request.service] = estimate
             case _:
                 ticket.answer = message
         await ticket.changed.set()
 
     def notify_owners(self, now: float) -> None:
-        """Tell replicas that have just become owners which requests run where."""
-        for shard in tuple(self._told_owner_by_shard):
-            self._tell_owner(self._session.resolve_shard(shard), now)
+        """Notify replicas that have just become owners, with the requests that are running."""
+        for shard in tuple(self._notified_owner_by_shard):
+            self._notify_owner(self._session.resolve_shard(shard), now)
 
     def report_moved_runs(self, now: float) -> None:
-        """Tell owners of requests that run on upstreams which have changed their shard.
+        """Report running requests to the new owners of upstreams that have changed their shard.
 
-        Both sides would count them wrongly: the one that placed them hears of their ends, the one
-        that places there now would not know of them.
+        Otherwise both owners would count them wrongly: the old one would get the reports of their
+        ends, and the new one would not know of them.
         """
         for ticket in tuple(self._ticket_by_id.values()):
             placed = ticket.answer
@@ -227,43 +242,43 @@
             if upstream is None:
                 continue
             shard = self._session.shard_of(upstream)
-            owner_id = self._tell_owner(shard, now)
+            owner_id = self._notify_owner(shard, now)
             if owner_id and (owner_id, shard) != (ticket.owner_id, ticket.request.target_shard):
-                self._tell_running(ticket, shard, owner_id)
+                self._report_running(ticket, shard, owner_id)
 
     async def wake_queued(self) -> None:
-        """Have those that wait at an owner see whether it still knows them."""
+        """Wake queued requests, so that they are sent again if owners have changed."""
         for ticket in tuple(self._ticket_by_id.values()):
-            if ticket.is_queued and ticket.asked_count != self._chosen_count:
+            if ticket.is_queued and ticket.owner_generation != self._owner_generation:
                 await ticket.changed.set()
 
-    def _tell_owner(self, shard: placement_messages.Shard, now: float) -> str:
-        """Return the owner of a shard, after telling it if it has just become so."""
+    def _notify_owner(self, shard: placement_messages.Shard, now: float) -> str:
+        """Return the owner of a shard; notify it first if it has just become the owner."""
         owner_id = self._session.owner(shard, now)
-        told = self._told_owner_by_shard.get(shard, "")
-        if not owner_id or owner_id == told:
+        previous = self._notified_owner_by_shard.get(shard, "")
+        if not owner_id or owner_id == previous:
             return owner_id
-        if told:
-            self._send(told, placement_messages.OwnerChosen(shard, is_chosen=False))
-        self._told_owner_by_shard[shard] = owner_id
-        self._chosen_count += 1
+        if previous:
+            self._send(previous, placement_messages.OwnerChosen(shard, is_chosen=False))
+        self._notified_owner_by_shard[shard] = owner_id
+        self._owner_generation += 1
         logs.event(
             _log,
             "owner_chosen",
             service=shard.service,
             shard=shard.index,
             replica=owner_id,
-            before=told or None,
+            before=previous or None,
         )
-        # Before the first question: an owner that has just started may know none of them.
-        self._tell_signals(owner_id)
-        belief = self._belief_by_service.get(shard.service)
-        self._send(owner_id, placement_messages.OwnerChosen(shard, True, belief))
+        # Before the first request: an owner that has just started may know no signals.
+        self._send_signals(owner_id)
+        estimate = self._estimate_by_service.get(shard.service)
+        self._send(owner_id, placement_messages.OwnerChosen(shard, True, estimate))
         for ticket in tuple(self._ticket_by_id.values()):
-            self._tell_running(ticket, shard, owner_id)
+            self._report_running(ticket, shard, owner_id)
         return owner_id
 
-    def _tell_running(
+    def _report_running(
         self, ticket: _Ticket, shard: placement_messages.Shard, owner_id: str
     ) -> None:
         placed = ticket.answer
@@ -279,107 +294,107 @@
         running = placement_messages.StillRunning(request, placed.upstream_id, ticket.has_started)
         self._send(owner_id, running)
 
-    def _give_back(self, owner_id: str, ticket_id: str) -> None:
-        """Free a slot that was granted after the request had gone, or turned to another owner."""
+    def _release_grant(self, owner_id: str, ticket_id: str) -> None:
+        """Release a slot that was granted after the request ended or moved to another owner."""
         ended = placement_messages.RunEnded(ticket_id, placement_messages.RunEnd.CANCELLED, 0.0)
         self._send(owner_id, ended)
 
     def _withdraw(self, ticket: _Ticket) -> None:
-        """Tell the owner that was asked, if any, that it is not asked any more."""
+        """Withdraw the request from the owner that was asked, if any."""
         if ticket.owner_id:
-            self._give_back(ticket.owner_id, ticket.request.ticket_id)
+            self._release_grant(ticket.owner_id, ticket.request.ticket_id)
             ticket.owner_id = ""
 
-    async def _ask(
+    async def _find_placement(
         self, ticket: _Ticket
     ) -> placement_messages.Placed | placement_messages.PlaceRefused:
         until = _now() + ticket.request.left_ms / 1000.0
         if not self._session.has_view:
-            # Owners place on upstreams that a host which has just started doesn't know yet.
-            await self._holds.wait(lambda: self._session.has_view, until - _now())
+            # Owners may choose upstreams that a host without a view does not know yet.
+            await self._hold_queue.wait(lambda: self._session.has_view, until - _now())
         while _now() < until:
             shard = self._session.resolve_shard(ticket.request.target_shard)
             ticket.request = dataclasses.replace(ticket.request, shard=shard)
-            owner_id = self._tell_owner(shard, _now())
-            if owner_id and not self._ask_owner(ticket, owner_id):
+            owner_id = self._notify_owner(shard, _now())
+            if owner_id and not self._send_request(ticket, owner_id):
                 continue
-            is_heard = bool(owner_id) and await self._wait_answer(ticket, until)
+            has_reply = bool(owner_id) and await self._wait_answer(ticket, until)
             if isinstance(ticket.answer, placement_messages.Busy):
-                ticket.turn(ticket.answer.begins_ms)
+                ticket.try_other_shard(ticket.answer.begins_ms)
                 continue
-            if is_heard and ticket.answer is not None:
+            if has_reply and ticket.answer is not None:
                 if ticket.is_closed:
                     shards = self._session.service_shards(ticket.request.service)
-                    if ticket.turn_from_closed(shards):
+                    if ticket.try_open_shard(shards):
                         continue
                 return ticket.answer
-            if is_heard:
+            if has_reply:
                 continue
             if ticket.request.begins_within_ms > 0:
                 self._withdraw(ticket)
-                ticket.turn(0.0)
+                ticket.try_other_shard(0.0)
                 continue
             if self._session.is_unresponsive(owner_id, _now()):
-                self._pass_over(owner_id, "silent")
+                self._skip_owner(owner_id, "silent")
                 continue
             if ticket.request.trial_key:
                 return self._refuse_trial(ticket)
-            if not await self._hold(ticket.request.service, until):
-                return self._choose_alone(ticket)
-        why = "its time ran out while it waited"
+            if not await self._wait_for_upstream(ticket.request.service, until):
+                return self._place_locally(ticket)
+        why = "its deadline passed while it waited for placement"
         return placement_messages.PlaceRefused(ticket.request.ticket_id, local_choice.RETRY_MS, why)
 
-    def _ask_owner(self, ticket: _Ticket, owner_id: str) -> bool:
-        """Ask an owner; return False if there is no connection to it, which passes it over."""
+    def _send_request(self, ticket: _Ticket, owner_id: str) -> bool:
+        """Send the request to an owner; return False and skip the owner if it is not connected."""
         if not self._send(owner_id, ticket.request):
-            self._pass_over(owner_id, "no connection")
+            self._skip_owner(owner_id, "no connection")
             return False
         ticket.owner_id = owner_id
-        ticket.asked_count = self._chosen_count
+        ticket.owner_generation = self._owner_generation
         return True
 
-    def _pass_over(self, owner_id: str, why: str) -> None:
+    def _skip_owner(self, owner_id: str, why: str) -> None:
         if self._session.mark_unreachable(owner_id):
             logs.event(_log, "owner_passed_over", replica=owner_id, why=why)
 
-    async def _hold(self, service: str, until: float) -> bool:
-        """Wait while no upstream of the service is known; return whether one became known."""
+    async def _wait_for_upstream(self, service: str, until: float) -> bool:
+        """Wait while no upstream of the service is known; return whether one has become known."""
         if self._knows_upstream(service):
             return False
-        return await self._holds.wait(lambda: self._knows_upstream(service), until - _now())
+        return await self._hold_queue.wait(lambda: self._knows_upstream(service), until - _now())
 
     def _knows_upstream(self, service: str) -> bool:
         return any(item.service == service for item in self._session.upstream_by_id.values())
 
     async def _wait_answer(self, ticket: _Ticket, until: float) -> bool:
-        """Wait for an answer; return False if the owner has to be done without.
+        """Wait for the owner's answer; return False if it does not reply in time.
 
-        Returns True without an answer if another owner is to be asked.
+        Returns True without an answer if the request has to be sent again, or its time is up.
         """
-        limit = min(until, _now() + OWNER_TIMEOUT_S)
+        reply_until = min(until, _now() + OWNER_TIMEOUT_S)
         while ticket.answer is None:
-            if not ticket.is_queued and _now() >= limit:
+            if not ticket.is_queued and _now() >= reply_until:
                 return False
             if ticket.is_queued and _now() >= until:
                 return True
             owner_id = self._session.owner(ticket.request.target_shard, _now())
-            # One that was chosen anew, if only for another shard, may have dropped what waited.
-            is_forgotten = ticket.asked_count != self._chosen_count
-            if ticket.is_queued and (owner_id != ticket.owner_id or is_forgotten):
+            # A replica that became owner again, even of another shard, may have dropped its queue.
+            may_be_dropped = ticket.owner_generation != self._owner_generation
+            if ticket.is_queued and (owner_id != ticket.owner_id or may_be_dropped):
                 ticket.is_queued = False
                 return True
-            pause = QUEUE_CHECK_S if ticket.is_queued else limit - _now()
+            wait_s = QUEUE_CHECK_S if ticket.is_queued else reply_until - _now()
             ticket.changed.clear()
-            await curio.ignore_after(max(pause, 0.001), ticket.changed.wait)
+            await curio.ignore_after(max(wait_s, 0.001), ticket.changed.wait)
         return True
 
     def _refuse_trial(self, ticket: _Ticket) -> placement_messages.PlaceRefused:
-        """Refuse a trial that no replica grants: other entry hosts may begin one as well."""
+        """Refuse a trial that no replica can grant: other entry hosts might start one, too."""
         self._withdraw(ticket)
-        why = "no replica says whether it may run, and upstreams ended while they ran it"
+        why = "upstreams crashed while running it, and no replica can grant a trial"
         return placement_messages.PlaceRefused(ticket.request.ticket_id, local_choice.RETRY_MS, why)
 
-    def _choose_alone(
+    def _place_locally(
         self, ticket: _Ticket
     ) -> placement_messages.Placed | placement_messages.PlaceRefused:
         request = ticket.request
@@ -401,8 +416,8 @@
         )
 
 
-def _runs_by(ticket: _Ticket | None, owner_id: str) -> bool:
-    """Say whether a request runs where this owner placed it."""
+def _was_placed_by(ticket: _Ticket | None, owner_id: str) -> bool:
+    """Return whether a request runs where this owner placed it."""
     return ticket is not None and ticket.answer is not None and ticket.owner_id == owner_id
 
 
--- a/src/medlarfork/gateway/replica_reporter.py
+++ b/src/medlarfork/gateway/replica_reporter.py
@@ -1,4 +1,4 @@
-"""Tell replicas what an entry host found, again for a while, and all of it to new ones."""
+"""Reports changes to all replicas, resends them for a while, and syncs restarted replicas."""
 
 from __future__ import annotations
 
@@ -7,72 +7,72 @@
 
 from medlarfork.gateway import entry_session
 
-Report = Callable[[tuple[str, ...], float], Any]
-"""Makes the message that tells what is known of some keys at a time."""
+MakeReport = Callable[[tuple[str, ...], float], Any]
+"""Builds the message with the known state of some keys at a given time."""
 
 
 class ReplicaReporter:
-    """Remember what was found lately; the time is handed in, in seconds."""
+    """Tracks recently changed keys. No clock: times are arguments, in seconds."""
 
     def __init__(
         self,
         session: entry_session.EntrySession,
         send: Callable[[str, Any], Any],
-        report: Report,
+        make_report: MakeReport,
         *,
-        retell_s: float,
+        resend_s: float,
     ) -> None:
-        """Use what is known of replicas, a link to send by, and a maker of messages.
+        """Create a reporter without pending changes.
 
         Args:
-            session: Names the replicas.
+            session: Lists the replicas.
             send: Sends a message to a replica.
             report: Makes a message.
-            retell_s: How long news are told again, in seconds.
+            resend_s: How long a change is resent, in seconds.
         """
         self._session = session
         self._send = send
-        self._report = report
-        self._retell_s = retell_s
-        self._found_at_by_key: dict[str, float] = {}
+        self._make_report = make_report
+        self._resend_s = resend_s
+        self._changed_at_by_key: dict[str, float] = {}
         self._up_s_by_replica: dict[str, float] = {}
 
-    def tell(self, keys: tuple[str, ...], now: float) -> None:
-        """Tell all replicas what is known of some keys, and for a while again."""
-        self._found_at_by_key.update(dict.fromkeys(keys, now))
+    def report(self, keys: tuple[str, ...], now: float) -> None:
+        """Send the state of changed keys to all replicas, now and for a while with each resend."""
+        self._changed_at_by_key.update(dict.fromkeys(keys, now))
         self._send_all(keys, now)
 
     def resend(self, now: float) -> None:
-        """Tell again what is new; called with each status."""
-        for key, at in tuple(self._found_at_by_key.items()):
-            if at < now - self._retell_s:
-                del self._found_at_by_key[key]
-        self._send_all(tuple(self._found_at_by_key), now)
+        """Resend recent changes; called with each status."""
+        for key, at in tuple(self._changed_at_by_key.items()):
+            if at < now - self._resend_s:
+                del self._changed_at_by_key[key]
+        self._send_all(tuple(self._changed_at_by_key), now)
 
     def sync_if_restarted(
         self, replica_id: str, up_s: float, known: tuple[str, ...], now: float
     ) -> None:
-        """Tell a replica that has started, or that was not heard before, all that is known.
+        """Send all known state to a replica that has restarted or was not known before.
 
         Args:
             replica_id: The replica.
-            up_s: How long it says that it has run, in seconds.
-            known: All keys.
+            up_s: Its uptime as it states it, in seconds.
+            known: All known keys.
             now: The time in seconds.
         """
-        before_s = self._up_s_by_replica.get(replica_id)
+        previous_up_s = self._up_s_by_replica.get(replica_id)
         self._up_s_by_replica[replica_id] = up_s
-        if before_s is None or up_s < before_s:
+        if previous_up_s is None or up_s < previous_up_s:
             self.send_snapshot(replica_id, known, now)
 
     def send_snapshot(self, replica_id: str, known: tuple[str, ...], now: float) -> None:
-        """Tell one replica all that is known."""
+        """Send the state of all known keys to one replica."""
         if known:
-            self._send(replica_id, self._report(known, now))
+            self._send(replica_id, self._make_report(known, now))
 
     def _send_all(self, keys: tuple[str, ...], now: float) -> None:
         if not keys:
             return
-        report = self._report(keys, now)
+        report = self._make_report(keys, now)
         for replica_id in self._session.replicas:
             self._send(replica_id, report)
--- a/src/medlarfork/gateway/request_handler.py
+++ b/src/medlarfork/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""Admit callers' requests: find the route, the client account and the deadline, then serve them."""
+"""Admits callers' requests: finds route, client account and deadline, then runs the pipeline."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RequestHandler:
-    """Serve the exchanges of an entry host's HTTP server."""
+    """Handles the exchanges of an entry host's HTTP server."""
 
     def __init__(
         self,
@@ -42,20 +42,20 @@
         client: http_client.HttpClient,
         session: entry_session.EntrySession,
         owner: owner_client.OwnerClient,
-        holds: request_hold.HoldQueue,
+        hold_queue: request_hold.HoldQueue,
         crashes: crash_tracker.CrashTracker,
         backpressure: backpressure_tracker.BackpressureTracker,
         usage: request_types.UsageRecorder,
         rules: retry_budget.BudgetRules,
         metrics: gateway_metrics.GatewayMetrics,
     ) -> None:
-        """Wire the handler to what the entry host's requests share."""
+        """Create a handler without a routing; it holds requests until ``apply_routing``."""
         self._zone = zone
         self._names = names
         self._client = client
         self._session = session
         self._owner = owner
-        self._holds = holds
+        self._hold_queue = hold_queue
         self._crashes = crashes
         self._backpressure = backpressure
         self._usage = usage
@@ -68,51 +68,51 @@
 
     @property
     def has_routing(self) -> bool:
-        """Return whether a version of the routing is in force."""
+        """Return whether a routing version is in force."""
         return self._table is not None
 
-    def use(self, whole: routing.Routing) -> None:
-        """Put a version of the routing in force."""
-        self._table = route_table.RouteTable(whole)
-        for service in whole.services:
+    def apply_routing(self, new_routing: routing.Routing) -> None:
+        """Put a routing version in force."""
+        self._table = route_table.RouteTable(new_routing)
+        for service in new_routing.services:
             if service.name not in self._budgets:
                 self._budgets[service.name] = retry_budget.RetryBudget(self._rules)
 
     async def handle(self, exchange: http_server.Exchange) -> None:
-        """Serve one exchange."""
+        """Handle one exchange."""
         started_at = time.monotonic()
         if self.is_stopping:
             exchange.close_after()
         body = await exchange.read_body()
         try:
-            facts = request_metadata.read(exchange.head.headers, self._names)
-            if not await self._wait_routing(exchange, facts):
+            metadata = request_metadata.parse(exchange.head.headers, self._names)
+            if not await self._wait_routing(exchange, metadata):
                 return
-            route, account = self._admit(exchange.head, facts)
+            route, account = self._admit(exchange.head, metadata)
         except errors.RequestRefusedError as error:
             await self._refuse(exchange, error)
             return
-        admitted = self._admitted(exchange, route, account, facts, body, started_at)
+        admitted = self._make_admitted(exchange, route, account, metadata, body, started_at)
         self._budgets[admitted.service].record_request(started_at)
-        run = request_pipeline.RequestPipeline(admitted, self._tools())
-        await self._serve(run, admitted)
-        self._record(run.trace, admitted)
+        pipeline = request_pipeline.RequestPipeline(admitted, self._shared_context())
+        await self._serve(pipeline, admitted)
+        self._record(pipeline.trace, admitted)
 
     async def _wait_routing(
-        self, exchange: http_server.Exchange, facts: request_metadata.RequestMetadata
+        self, exchange: http_server.Exchange, metadata: request_metadata.RequestMetadata
     ) -> bool:
-        """Hold a request while no routing is in force; return False if its caller has gone."""
+        """Hold a request while no routing is in force; return False if its caller disconnects."""
         if self.has_routing:
             return True
-        left_s = math.inf if facts.deadline_ms is None else facts.deadline_ms / 1000.0
+        left_s = math.inf if metadata.deadline_ms is None else metadata.deadline_ms / 1000.0
         async with curio.TaskGroup(wait=any) as group:
-            held = await group.spawn(self._holds.wait, lambda: self.has_routing, left_s)
+            held = await group.spawn(self._hold_queue.wait, lambda: self.has_routing, left_s)
             await group.spawn(exchange.wait_caller_gone)
         is_there = group.completed is held
         logs.event(
             _log,
             "request_held",
-            request=facts.attempt_id or None,
+            request=metadata.attempt_id or None,
             routing=0 if self._table is None else self._table.version,
             caller_gone=not is_there,
         )
@@ -121,7 +121,7 @@
         return is_there
 
     def _admit(
-        self, head: http_server.RequestHead, facts: request_metadata.RequestMetadata
+        self, head: http_server.RequestHead, metadata: request_metadata.RequestMetadata
     ) -> tuple[routing.Route, routing.Account | None]:
         """Return the route and the client account of a request.
 
@@ -132,7 +132,7 @@
         if table is None:
             raise errors.RequestRefusedError(
                 "This entry host has no routing yet.",
-                remedy="Use another entry host, or come back as Retry-After says.",
+                remedy="Use another entry host, or retry after the time in Retry-After.",
                 code=errors.Code.STALE_CONFIGURATION,
                 status=503,
                 headers={"Retry-After": "0.500"},
@@ -140,25 +140,25 @@
         route = table.route(head.headers.get("host", ""), head.path)
         if route is None:
             raise errors.RequestRefusedError(
-                "No route begins the request's host and path.",
+                "No route matches the request's host and path.",
                 remedy="Correct them, or ask the operators to declare a route.",
                 code=errors.Code.NOT_FOUND,
                 status=404,
             )
-        return route, _account(table, route, facts)
+        return route, _account(table, route, metadata)
 
-    def _admitted(
+    def _make_admitted(
         self,
         exchange: http_server.Exchange,
         route: routing.Route,
         account: routing.Account | None,
-        facts: request_metadata.RequestMetadata,
+        metadata: request_metadata.RequestMetadata,
         body: bytes,
         started_at: float,
     ) -> request_types.AdmittedRequest:
         allowed_ms = route.timeout_ms
-        if facts.deadline_ms is not None:
-            allowed_ms = min(allowed_ms, facts.deadline_ms - request_pipeline.DEADLINE_MARGIN_MS)
+        if metadata.deadline_ms is not None:
+            allowed_ms = min(allowed_ms, metadata.deadline_ms - request_pipeline.DEADLINE_MARGIN_MS)
         tier = route.tier
         if account is not None and account.tier is not None:
             tier = account.tier
@@ -169,7 +169,7 @@
         )
         return request_types.AdmittedRequest(
             exchange=exchange,
-            facts=facts,
+            metadata=metadata,
             route=route,
             key=key,
             service=route_table.choose_target(route, self._random.random()),
@@ -180,7 +180,7 @@
             deadline_at=started_at + allowed_ms / 1000.0,
         )
 
-    def _tools(self) -> request_types.SharedContext:
+    def _shared_context(self) -> request_types.SharedContext:
         return request_types.SharedContext(
             client=self._client,
             names=self._names,
@@ -196,39 +196,40 @@
         )
 
     async def _serve(
-        self, run: request_pipeline.RequestPipeline, admitted: request_types.AdmittedRequest
+        self, pipeline: request_pipeline.RequestPipeline, admitted: request_types.AdmittedRequest
     ) -> None:
-        """Serve until there is a final answer, the time is over, or the caller has gone.
+        """Serve until the final answer, the deadline, or the caller's disconnect.
 
-        The connection is cut only here, after both tasks have ended: closing a descriptor that a
-        task still waits for would mix it up with the next connection that gets its number.
+        The connection is aborted only here, after both tasks have ended: if a descriptor is closed
+        while a task still waits for it, curio confuses it with the next connection that gets the
+        same number.
         """
         exchange = admitted.exchange
         try:
             async with curio.TaskGroup(wait=any) as group:
-                serving = await group.spawn(self._serve_in_time, run, admitted)
+                serving = await group.spawn(self._serve_in_time, pipeline, admitted)
                 await group.spawn(exchange.wait_caller_gone)
         finally:
-            run.end_ticket(placement_messages.RunEnd.CANCELLED)
+            pipeline.end_ticket(placement_messages.RunEnd.CANCELLED)
         if group.completed is not serving:
-            run.record_caller_gone()
+            pipeline.record_caller_gone()
         elif serving.exception is not None:
             raise serving.exception
         if not exchange.finished:
             await exchange.abort()
 
     async def _serve_in_time(
-        self, run: request_pipeline.RequestPipeline, admitted: request_types.AdmittedRequest
+        self, pipeline: request_pipeline.RequestPipeline, admitted: request_types.AdmittedRequest
     ) -> None:
         left_s = admitted.deadline_at - time.monotonic()
         try:
             try:
-                await curio.timeout_after(max(left_s, 0.0), run.serve)
+                await curio.timeout_after(max(left_s, 0.0), pipeline.serve)
             except curio.TaskTimeout:
-                run.end_ticket(placement_messages.RunEnd.CANCELLED)
-                await run.time_out()
+                pipeline.end_ticket(placement_messages.RunEnd.CANCELLED)
+                await pipeline.time_out()
         except errors.CallerGoneError:
-            run.record_caller_gone()
+            pipeline.record_caller_gone()
 
     async def _refuse(
         self, exchange: http_server.Exchange, error: errors.RequestRefusedError
@@ -246,13 +247,13 @@
         await exchange.respond(error.status, headers, body)
 
     def _record(self, trace: request_types.Trace, admitted: request_types.AdmittedRequest) -> None:
-        """Log the request's decisions in one line, and count it."""
+        """Log the request's data in one line, and count it."""
         took_ms = (time.monotonic() - admitted.started_at) * 1000.0
         self._metrics.count(admitted.account, admitted.route.name, trace.status, took_ms)
         logs.event(
             _log,
             "request",
-            request=admitted.facts.attempt_id or None,
+            request=admitted.metadata.attempt_id or None,
             key=admitted.key,
             route=admitted.route.name,
             service=admitted.service,
@@ -265,7 +266,7 @@
             tickets=",".join(trace.tickets) or None,
             waited_ms=round(trace.waited_ms, 1),
             first_ms=round(trace.first_event_ms, 1),
-            pause_ms=round(trace.longest_pause_ms, 1) or None,
+            pause_ms=round(trace.max_gap_ms, 1) or None,
             took_ms=round(took_ms, 1),
             allowed_ms=round((admitted.deadline_at - admitted.started_at) * 1000.0),
             why="; ".join(trace.reasons) or None,
@@ -273,20 +274,20 @@
 
 
 def _account(
-    table: route_table.RouteTable, route: routing.Route, facts: request_metadata.RequestMetadata
+    table: route_table.RouteTable, route: routing.Route, metadata: request_metadata.RequestMetadata
 ) -> routing.Account | None:
-    """Return the client account that a request's key belongs to.
+    """Return the client account of a request's API key; None if no key is needed.
 
     Raises:
         errors.RequestRefusedError: The route needs a key and the request has no known one.
     """
     if route.is_public or not table.needs_keys:
         return None
-    account = table.account(facts.api_key)
+    account = table.account(metadata.api_key)
     if account is None:
         raise errors.RequestRefusedError(
-            "The request has no key of a known client account.",
-            remedy="Send the key that the operators gave you.",
+            "The request has no API key of a known client account.",
+            remedy="Send the API key that the operators gave you.",
             code=errors.Code.INVALID_API_KEY,
             status=401,
         )
--- a/src/medlarfork/gateway/request_header_names.py
+++ b/src/medlarfork/gateway/request_header_names.py
@@ -1,6 +1,6 @@
-"""Name the headers in which callers, entry hosts and upstreams of a routed deployment speak.
+"""Names of the headers between callers, entry hosts and upstreams of a routed deployment.
 
-These are the product's own. A deployment whose callers and upstreams use others passes its table.
+The defaults are the product's own. A deployment with other headers passes its own instance.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHeaderNames:
-    """Hold header names in lower case, and the scheme of keys.
+    """Header names in lower case, and the authorization scheme.
 
     Attributes:
         attempt_id: The caller's id of this attempt; upstreams return it.
         deadline_ms: How long the sender waits, in milliseconds.
-        key_scheme: Word before the key in the Authorization header.
-        last_event_id: The last event that the caller has; a stream goes on after it.
-        token_usage: Prompt tokens and most output tokens, with a comma between.
-        prompt_parts: ``ID:TOKENS`` for each part of the prompt, with commas between.
-        expected_upstream: The incarnation that alone may run the request.
-        account: The client account, as the upstream is told.
-        tier: The rank at the upstream, 0 first.
+        key_scheme: Scheme before the API key in the Authorization header.
+        last_event_id: The last event that the caller has received; a stream resumes after it.
+        token_usage: Prompt tokens and maximum output tokens, separated by a comma.
+        prompt_parts: ``ID:TOKENS`` of each prompt prefix segment, separated by commas.
+        expected_upstream: The only incarnation that may run the request.
+        account: The client account, for the upstream.
+        tier: The rank at the upstream; 0 is the most urgent.
         not_executed: Set by upstreams that did not run the request.
-        seal: Set by upstreams on their answers; passed on unchanged.
-        fetch_from: Address of an upstream from which the receiver fetches what it lacks.
-        rate_limit: Set by upstreams in need: requests a second that they take from all hosts.
+        seal: Set by upstreams on their responses; passed on unchanged.
+        fetch_from: Address of an upstream from which the receiver fetches missing cache entries.
+        rate_limit: Set by overloaded upstreams: requests per second accepted from all hosts.
         leaving: Set to 1 by upstreams that are about to stop.
-        dropped: Further headers that only the system may set; dropped when callers send them.
+        dropped: Further headers that only the system may set; removed from callers' requests.
     """
 
     attempt_id: str = "medlar-attempt-id"
@@ -48,7 +48,7 @@
 
     @property
     def set_by_system(self) -> frozenset[str]:
-        """Return the headers that callers can't set."""
+        """Return the headers that are removed from callers' requests."""
         own = {
             self.expected_upstream,
             self.account,
--- a/src/medlarfork/gateway/request_hold.py
+++ b/src/medlarfork/gateway/request_hold.py
@@ -1,8 +1,8 @@
-"""Let requests wait, bounded in number and time, for what a restarted entry host doesn't know yet.
+"""Holds requests until a restarted entry host has the state to serve them; bounded.
 
-The load that this answers: all processes are started at once. Entry hosts serve again before
-control has a leader, and before upstreams have announced themselves; callers come at once, and have
-one try more at most. What is refused then is mostly lost, what waits is served late.
+It matters when all processes are restarted at once: entry hosts serve before control has elected a
+leader and before upstreams have announced themselves. Callers connect at once and have at most one
+retry left, so most requests rejected then are lost, while held ones are served late.
 """
 
 from __future__ import annotations
@@ -13,41 +13,42 @@
 import curio
 
 MAX_HOLD_S = 3.0
-"""Longest wait, in seconds: an election after a lease has run out (1.4 s) and then one period of
-announcements (1.2 s), with the ways in between."""
+"""Maximum wait, in seconds: an election after the lease expired (1.4 s) and then one announcement
+period (1.2 s), plus message latency."""
 
 MAX_HELD = 400
-"""Requests that wait at once: with bodies of 20 KB, as long prompts have, 8 MB."""
+"""Maximum number of requests that are held at once: 8 MB with bodies of 20 KB, as long prompts
+have."""
 
 RESPONSE_RESERVE_S = 0.1
-"""Time that is left before a caller gives up when its wait ends, in seconds: a request that goes on
-with less can't be served any more."""
+"""Time reserved before the caller's deadline when a hold ends, in seconds: with less, the request
+can't be served any more."""
 
 
 class HoldQueue:
-    """Hold requests until a condition comes true."""
+    """Holds requests until a condition becomes true."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start empty."""
         self._held = 0
         self._changed = curio.Event()
 
     @property
     def held(self) -> int:
-        """Return how many requests wait."""
+        """Return how many requests are held."""
         return self._held
 
     async def notify_change(self) -> None:
-        """Have those that wait look at their conditions again."""
+        """Re-evaluate the conditions of all held requests."""
         changed, self._changed = self._changed, curio.Event()
         await changed.set()
 
     async def wait(self, condition: Callable[[], bool], left_s: float) -> bool:
-        """Wait until a condition is true; return False if that takes too long or too many wait.
+        """Wait until a condition is true; return False on timeout or if the queue is full.
 
         Args:
-            condition: What is waited for; looked at after each ``notify_change``.
-            left_s: Time until the caller gives up, in seconds.
+            condition: Evaluated at once and after each ``notify_change``.
+            left_s: Time until the caller's deadline, in seconds.
         """
         until = time.monotonic() + min(MAX_HOLD_S, left_s - RESPONSE_RESERVE_S)
         if self._held >= MAX_HELD:
--- a/src/medlarfork/gateway/request_metadata.py
+++ b/src/medlarfork/gateway/request_metadata.py
@@ -1,4 +1,4 @@
-"""Read what a caller's headers say of its request, and build those that its upstream gets."""
+"""Parses the request metadata in a caller's headers, and builds the headers for the upstream."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from medlarfork.placement import placement_messages
 
 LOWEST_RANK = 9
-"""Upstreams know the ranks 0 to 9; what ranks lower is told as this."""
+"""Upstreams know the ranks 0 to 9, 0 being the most urgent; lower ranks are clamped to 9."""
 
 RANK_TARGET_BOUNDS_MS = (350.0, 1000.0)
-"""Bounds of the targets that part a tier into ranks for upstreams, in milliseconds: within a tier,
-what is expected sooner is read first."""
+"""First-event targets that divide a tier into ranks, in milliseconds: within a tier, upstreams
+prefill requests with a shorter target first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """Hold what a caller says of its request.
+    """What a caller states about its request.
 
     Attributes:
         attempt_id: The caller's id of this attempt; empty if it gave none.
-        deadline_ms: How long the caller waits; None if it did not say.
-        api_key: Its key; empty if it gave none.
-        last_event_id: The last event that it has; empty for none.
-        parts: The parts of its prompt.
-        output_tokens: Tokens that the answer may have.
+        deadline_ms: How long the caller waits, in milliseconds; None if it gave no deadline.
+        api_key: Its API key; empty if it gave none.
+        last_event_id: The last event that it has received; empty for none.
+        prompt_segments: The prefix segments of its prompt.
+        output_tokens: Maximum number of output tokens; 0 if it gave none.
     """
 
     attempt_id: str
     deadline_ms: float | None
     api_key: str
     last_event_id: str
-    parts: tuple[placement_messages.PromptSegment, ...]
+    prompt_segments: tuple[placement_messages.PromptSegment, ...]
     output_tokens: int
 
 
-def read(
+def parse(
     headers: Mapping[str, str], names: request_header_names.RequestHeaderNames
 ) -> RequestMetadata:
-    """Read the headers of a request.
+    """Parse the headers of a request.
 
     Raises:
-        errors.RequestRefusedError: A header that placement rests on can't be read.
+        errors.RequestRefusedError: A header that placement depends on is malformed.
     """
     scheme, _, api_key = headers.get("authorization", "").partition(" ")
     return RequestMetadata(
@@ -53,7 +53,7 @@
         deadline_ms=_deadline(headers.get(names.deadline_ms)),
         api_key=api_key.strip() if scheme.lower() == names.key_scheme.lower() else "",
         last_event_id=headers.get(names.last_event_id, ""),
-        parts=_parts(headers.get(names.prompt_parts, "")),
+        prompt_segments=_prompt_segments(headers.get(names.prompt_parts, "")),
         output_tokens=_output_tokens(headers.get(names.token_usage, "")),
     )
 
@@ -70,7 +70,7 @@
     last_event_id: str,
     fetch_from: str = "",
 ) -> dict[str, str]:
-    """Return the headers that an upstream gets: the caller's, and those that the system sets."""
+    """Return the headers for the upstream: the caller's, and those that the system sets."""
     dropped = names.set_by_system | _http_messages.HOP_BY_HOP_HEADERS
     sent = {name: value for name, value in headers.items() if name not in dropped}
     sent[names.expected_upstream] = upstream_id
@@ -86,7 +86,7 @@
 
 
 def upstream_rank(tier: int, target_ms: float) -> int:
-    """Return the rank that an upstream is told: the tier first, within it the nearer target."""
+    """Return the request's rank at the upstream: by tier, and within it by target."""
     within = sum(target_ms > bound for bound in RANK_TARGET_BOUNDS_MS)
     return min(max(tier, 0) * (len(RANK_TARGET_BOUNDS_MS) + 1) + within, LOWEST_RANK)
 
@@ -97,37 +97,37 @@
     try:
         deadline_ms = float(value)
     except ValueError as error:
-        raise _unreadable("deadline", value) from error
+        raise _invalid_header("deadline", value) from error
     if not 0 < deadline_ms < float("inf"):
-        raise _unreadable("deadline", value)
+        raise _invalid_header("deadline", value)
     return deadline_ms
 
 
-def _parts(value: str) -> tuple[placement_messages.PromptSegment, ...]:
-    parts: list[placement_messages.PromptSegment] = []
+def _prompt_segments(value: str) -> tuple[placement_messages.PromptSegment, ...]:
+    prompt_segments: list[placement_messages.PromptSegment] = []
     for item in value.split(","):
-        part_id, _, tokens = item.strip().partition(":")
-        if part_id and tokens.isascii() and tokens.isdigit():
-            parts.append(placement_messages.PromptSegment(part_id, int(tokens)))
+        segment_id, _, tokens = item.strip().partition(":")
+        if segment_id and tokens.isascii() and tokens.isdigit():
+            prompt_segments.append(placement_messages.PromptSegment(segment_id, int(tokens)))
         elif item.strip():
-            raise _unreadable("list of prompt parts", value)
-    return tuple(parts)
+            raise _invalid_header("list of prompt segments", value)
+    return tuple(prompt_segments)
 
 
 def _output_tokens(value: str) -> int:
-    """Return the most output tokens; 0 where the caller does not say."""
+    """Return the maximum number of output tokens; 0 if the caller gave none."""
     if not value:
         return 0
     last = value.rpartition(",")[2].strip()
     if not (last.isascii() and last.isdigit()):
-        raise _unreadable("token usage", value)
+        raise _invalid_header("token usage", value)
     return int(last)
 
 
-def _unreadable(what: str, value: str) -> errors.RequestRefusedError:
+def _invalid_header(what: str, value: str) -> errors.RequestRefusedError:
     return errors.RequestRefusedError(
-        f"The {what} {value[:100]!r} can't be read.",
-        remedy="Correct the header, or leave it out.",
+        f"The {what} {value[:100]!r} is malformed.",
+        remedy="Correct the header or omit it.",
         code=errors.Code.BAD_REQUEST,
         status=400,
     )
--- a/src/medlarfork/gateway/request_types.py
+++ b/src/medlarfork/gateway/request_types.py
@@ -1,4 +1,4 @@
-"""Define what the handler of requests and the run of one request share."""
+"""Types that the request handler and the request pipeline share."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """Hold a request that was read, routed and identified.
+    """A request that was read, routed and authenticated.
 
     Attributes:
-        exchange: The caller's connection.
-        facts: What its headers say.
-        route: How it is handled.
-        key: What its repeats share (see ``request_key``).
-        service: The service that was drawn for it.
+        exchange: The HTTP exchange with the caller.
+        metadata: What its headers state.
+        route: The route that it matched.
+        key: The same for all retries of a request by its account (see ``request_key``).
+        service: The target service that was chosen by weight.
         account: The client account; empty on public routes.
-        tier: Its rank.
-        body: Its whole body.
-        started_at: When its head was in, in monotonic seconds.
-        deadline_at: When its caller or route gives up, in monotonic seconds.
+        tier: Its tier; 0 is the most urgent.
+        body: Its complete body.
+        started_at: When its head had arrived, in monotonic seconds.
+        deadline_at: When its caller or route times out, in monotonic seconds.
     """
 
     exchange: http_server.Exchange
-    facts: request_metadata.RequestMetadata
+    metadata: request_metadata.RequestMetadata
     route: routing.Route
     key: str
     service: str
@@ -45,11 +45,11 @@
 
 
 CALLER_GONE_STATUS = 499
-"""Status in logs and metrics for a request whose caller went before its answer."""
+"""Status in logs and metrics of a request whose caller disconnected before its answer."""
 
 
 class Result(enum.StrEnum):
-    """Say what became of a request."""
+    """The final result of a request."""
 
     ANSWERED = "answered"
     CUT = "cut"
@@ -61,17 +61,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Trace:
-    """Collect what the log line of a request tells.
+    """The data of a request's log line.
 
     Attributes:
-        result: What became of it.
-        status: The status that its caller got; 0 for none.
-        upstreams: The incarnations it was sent to, in order.
-        tickets: The questions to the owner of placement, in order.
+        result: Its final result.
+        status: The status sent to its caller; 0 for none.
+        upstreams: The incarnations that it was sent to, in order.
+        tickets: The ids of its placement tickets, in order.
         reasons: Why attempts ended without an answer, in order.
-        waited_ms: Time until it was placed the first time, in milliseconds.
-        first_event_ms: Time to the first event or the whole answer, in milliseconds.
-        longest_pause_ms: Longest time between two events that were passed on, in milliseconds.
+        waited_ms: Time until its first placement, in milliseconds.
+        first_event_ms: Time to the first event or the complete answer, in milliseconds.
+        max_gap_ms: Longest gap between two events that were passed on, in milliseconds.
     """
 
     result: Result = Result.FAILED
@@ -81,17 +81,17 @@
     reasons: list[str] = dataclasses.field(default_factory=list)
     waited_ms: float = 0.0
     first_event_ms: float = 0.0
-    longest_pause_ms: float = 0.0
+    max_gap_ms: float = 0.0
 
 
 ChooseShards = Callable[
     [str, str], tuple[placement_messages.Shard, placement_messages.Shard | None]
 ]
-"""Returns the shard that is to serve what a key names, and the one to ask while that is busy."""
+"""Returns the shard that serves an affinity key, and the one to ask while that is busy."""
 
 
 class CrashTracking(Protocol):
-    """Say whether a request may run, and take how its runs end (see ``crash_watch``)."""
+    """Decides whether a request may run, and records how its runs end (see ``crash_tracker``)."""
 
     def standing(self, key: str) -> crash_ledger.Standing:
         """Return whether a request may run."""
@@ -100,46 +100,46 @@
     async def handle_broken_run(
         self, admitted: AdmittedRequest, upstream: upstream_types.Announcement
     ) -> None:
-        """Note a run without a whole answer."""
+        """Handle a run without a complete answer."""
         ...
 
     def record_abandoned_run(self, key: str, upstream: upstream_types.Announcement) -> None:
-        """Note a run that nobody waits for any more."""
+        """Record a run whose caller no longer waits."""
         ...
 
-    async def is_suspect(self, key: str, upstream_id: str, own_breaks: int) -> bool:
-        """Say whether a request is not to be sent on, since upstreams ended under it."""
+    async def is_suspect(self, key: str, upstream_id: str, broken_runs: int) -> bool:
+        """Return whether a request must not be retried, because it crashed upstreams."""
         ...
 
     def record_completed_run(self, key: str) -> None:
-        """Note that an upstream answered a request whole."""
+        """Record that an upstream answered a request completely."""
         ...
 
 
 class UsageRecorder(Protocol):
-    """Count requests that began to run (see ``usage_teller``)."""
+    """Counts started requests for each client account (see ``usage_reporter``)."""
 
     def record_started(self, account: str) -> None:
-        """Count a request that began to run now."""
+        """Count a request that starts to run now."""
         ...
 
     def record_sent(self, account: str) -> int:
-        """Note a call that is sent now; return what ``record_outcome`` is to be told."""
+        """Count a sent call; return its id for ``record_outcome``."""
         ...
 
     def record_outcome(self, send: int, *, has_started: bool) -> None:
-        """Say whether a call that was sent began to run."""
+        """Record whether a sent call started to run."""
         ...
 
 
 class NullUsageRecorder:
-    """Count nothing, where nobody is told of usage."""
+    """Counts nothing, where usage is not reported."""
 
     def record_started(self, account: str) -> None:
         """Count nothing."""
 
     def record_sent(self, account: str) -> int:
-        """Return that there is nothing to be told."""
+        """Return 0, the id of a call that is not counted."""
         return 0
 
     def record_outcome(self, send: int, *, has_started: bool) -> None:
@@ -147,7 +147,7 @@
 
 
 class BackpressureTracking(Protocol):
-    """Take what upstreams say of themselves in answers (see ``backpressure_watch``)."""
+    """Tracks backpressure signals in upstreams' responses (see ``backpressure_tracker``)."""
 
     def record_response(
         self,
@@ -158,25 +158,25 @@
         sent_at: float,
         attempt_id: str,
     ) -> None:
-        """Take the head of an answer."""
+        """Record the signals in a response's head."""
         ...
 
     def may_send(self, upstream_id: str) -> bool:
-        """Return whether an upstream still takes a request that was placed on it."""
+        """Return whether an upstream still accepts a request that was placed on it."""
         ...
 
     def remaining_backoff_ms(self, service: str) -> float:
-        """Return how long all upstreams of a service want no request from here."""
+        """Return the time until any upstream of a service accepts requests from here, in ms."""
         ...
 
 
 FindUpstream = Callable[[str], upstream_types.Announcement | None]
-"""Returns an upstream that may take requests now; it may have come while a request waited."""
+"""Returns an upstream if it may get requests now, also one that joined while the request waited."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SharedContext:
-    """Hold what all requests of an entry host share."""
+    """What all requests of an entry host share."""
 
     client: http_client.HttpClient
     names: request_header_names.RequestHeaderNames
--- a/src/medlarfork/gateway/retry_policy.py
+++ b/src/medlarfork/gateway/retry_policy.py
@@ -1,9 +1,11 @@
-"""Decide what follows when an attempt at an upstream has ended: pure rules of repetition.
+"""Retry rules: whether a failed attempt may be retried, and the status when it may not.
 
-A request that may not be repeated is sent again only if its upstream proved that it did not run.
-One that may be is sent again within its route's number of attempts. Either draws on the shared
-budget of repeats once an upstream has seen it. What the caller is told follows from whether any
-upstream may have run it: "not run" must be true.
+A non-repeatable request is retried only if its upstream proved that it did not run. A repeatable
+one is retried up to its route's number of attempts. Once an upstream has received the request, each
+retry also counts against the shared retry budget. The final status depends on whether any upstream
+may have run the request: 503 promises that it did not run.
+
+Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -14,32 +16,31 @@
 from medlarfork.routes import routing
 
 MAX_REJECTIONS = 6
-"""Upstreams that may refuse one request, or be unreachable for it, before it is given up: each
-costs a round trip and a part of the budget of repeats, and where so many refuse hardly any other
-takes it."""
+"""Attempts of one request that upstreams may reject, or that may find them unreachable, before the
+request fails. Each costs a round trip and a share of the retry budget, and after so many rejections
+another upstream is unlikely to accept the request."""
 
 MIN_ATTEMPT_MS = 50.0
-"""Time left under which another attempt is not worth beginning, in milliseconds: no upstream can
-answer over two links in less."""
-
+"""Least time left for another attempt, in milliseconds: no upstream can answer over two links in
+less."""
 
 MIN_STALL_TIMEOUT_S = 1.0
-"""Shortest silence in a stream that is taken for a failure, in seconds: several times the longest
-pause that reading beside the stream causes."""
+"""Shortest inter-event gap of a stream that is treated as a stall, in seconds: several times the
+longest gap that the prefill of other requests on the same engine causes."""
 
 STALL_TIMEOUT_FACTOR = 1.5
-"""The same as a multiple of the pause that callers expect at most: beyond it the stream is late
-anyway."""
+"""Stall timeout as a multiple of the route's target for the inter-event gap: a longer gap misses
+that target in any case."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """Hold how far a request has come.
+    """The attempts of a request so far.
 
     Attributes:
         runs: Attempts that an upstream may have run.
         rejections: Attempts that provably did not run.
-        response_started: Whether the caller has a part of an answer.
+        response_started: Whether the caller has received part of an answer.
     """
 
     runs: int = 0
@@ -47,7 +48,7 @@
     response_started: bool = False
 
     def after(self, end: placement_messages.RunEnd) -> Progress:
-        """Return the progress after an attempt that ended without a whole answer."""
+        """Return the progress after an attempt that ended without a complete answer."""
         match end:
             case placement_messages.RunEnd.REJECTED | placement_messages.RunEnd.UNREACHABLE:
                 return dataclasses.replace(self, rejections=self.rejections + 1)
@@ -58,7 +59,7 @@
 
 
 def may_retry(route: routing.Route, progress: Progress, left_ms: float) -> bool:
-    """Say whether the rules allow another attempt; the budget is asked separately."""
+    """Return whether the rules allow another attempt; the retry budget is checked separately."""
     if left_ms < MIN_ATTEMPT_MS or progress.rejections >= MAX_REJECTIONS:
         return False
     if progress.runs == 0:
@@ -67,12 +68,12 @@
 
 
 def stall_timeout_s(route: routing.Route) -> float:
-    """Return the silence after which a stream that can go on elsewhere is given up."""
+    """Return the inter-event gap after which a stream is resumed at another upstream."""
     return max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * route.gap_ms / 1000.0)
 
 
 def final_status(progress: Progress, *, in_time: bool) -> int:
-    """Return the status that tells the caller truthfully what became of its request."""
+    """Return the status of a request without an answer: 503 only if no upstream ran it."""
     if progress.runs == 0:
         return 503
     return 502 if in_time else 504
--- a/src/medlarfork/gateway/upstream_call.py
+++ b/src/medlarfork/gateway/upstream_call.py
@@ -1,4 +1,4 @@
-"""Carry out one attempt: send the request to one upstream and read the head of its answer."""
+"""Sends one attempt to one upstream and reads the head of its response."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from medlarfork.placement import placement_messages
 
 WRONG_UPSTREAM_STATUS = 421
-"""Status of an upstream that is not the expected incarnation; it has not run the request."""
+"""Status with which an upstream that is not the expected incarnation rejects a request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """Hold what is sent.
+    """The HTTP request of one attempt.
 
     Attributes:
         address: ``IP:PORT`` of the upstream.
         method: HTTP method.
         target: Path, with the query if any.
-        headers: What the upstream gets.
-        body: The whole body.
-        attempt_id: The id that the answer has to return.
-        timeout_s: Time to the end of the answer, in seconds.
+        headers: Headers for the upstream.
+        body: The complete body.
+        attempt_id: The id that the response must return.
+        timeout_s: Time until the end of the response, in seconds.
     """
 
     address: str
@@ -39,27 +39,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """Hold an attempt that brought no answer of this request."""
+    """An attempt that got no response to this request."""
 
     end: placement_messages.RunEnd
     why: str
 
 
-NoteHead = Callable[[http_client.Response], None]
-"""Takes the head of an answer that the expected upstream gave."""
+OnHead = Callable[[http_client.Response], None]
+"""Called with the head of a response that belongs to this request."""
 
 MaySend = Callable[[], bool]
-"""Says whether the upstream still takes the request that was placed on it."""
+"""Returns whether the upstream still accepts the request that was placed on it."""
 
 
 async def send(
     client: http_client.HttpClient,
     call: Call,
     names: request_header_names.RequestHeaderNames,
-    note_head: NoteHead,
+    on_head: OnHead,
     may_send: MaySend,
 ) -> http_client.Response | Failure:
-    """Send a request and return its answer once the head is in, or why there is none."""
+    """Send a request; return the response once its head has arrived, or the failure."""
     try:
         response = await client.request(
             f"http://{call.address}",
@@ -71,28 +71,31 @@
             may_send=may_send,
         )
     except errors.RequestWithdrawnError:
-        return Failure(placement_messages.RunEnd.NOT_SENT, "takes no request from here now")
+        return Failure(placement_messages.RunEnd.NOT_SENT, "accepts no request from this host now")
     except errors.RequestNotSentError as error:
         return Failure(placement_messages.RunEnd.UNREACHABLE, str(error))
     except errors.UpstreamError as error:
         return Failure(placement_messages.RunEnd.BROKEN, str(error))
-    is_own = _is_own(response, call, names)
-    if is_own and response.status != WRONG_UPSTREAM_STATUS:
-        note_head(response)
+    is_own_answer = _belongs_to(response, call, names)
+    if is_own_answer and response.status != WRONG_UPSTREAM_STATUS:
+        on_head(response)
     if response.status == WRONG_UPSTREAM_STATUS or names.not_executed in response.headers:
         await _drain(response)
         return Failure(placement_messages.RunEnd.REJECTED, f"status {response.status}")
-    if not is_own:
+    if not is_own_answer:
         await response.close()
-        why = "its answer belongs to another request"
+        why = "its response belongs to another request"
         return Failure(placement_messages.RunEnd.FAILED, why)
     return response
 
 
-def _is_own(
+def _belongs_to(
     response: http_client.Response, call: Call, names: request_header_names.RequestHeaderNames
 ) -> bool:
-    """Say whether an answer returns the request's id; a late second answer bears another one."""
+    """Return whether a response carries the id of this request, not that of another one.
+
+    A response without an id is accepted only if it is an error.
+    """
     returned = response.headers.get(names.attempt_id)
     if returned is None:
         return response.status >= 400
@@ -100,9 +103,9 @@
 
 
 async def _drain(response: http_client.Response) -> None:
-    """Read a refusal to its end, so that its connection can be used again."""
+    """Read a rejection to its end, so that its connection can be reused."""
     try:
         await response.read()
     except errors.UpstreamError:
-        # The refusal's head said that nothing ran; its connection was cut by the failed read.
+        # The head already proved that nothing ran; the failed read has closed the connection.
         return
--- a/src/medlarfork/gateway/usage_reporter.py
+++ b/src/medlarfork/gateway/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Count at an entry host whose requests began to run, and tell the leader."""
+"""Counts started requests for each client account, and reports them to the leader."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UsageReporter:
-    """Own the counts of one start of an entry host."""
+    """The usage counts of one start of an entry host."""
 
     def __init__(self, window_s: float, send: Send) -> None:
         """Start without counts.
@@ -33,37 +33,37 @@
         self._send = send
 
     def record_started(self, account: str) -> None:
-        """Count a request that began to run now."""
+        """Count a request that starts to run now."""
         if account:
             self._counter.record_started(account, self._true_s())
 
     def record_sent(self, account: str) -> int:
-        """Note a call that is sent now; return what ``record_outcome`` is to be told, 0 for nothing."""
+        """Count a sent call; return its id for ``record_outcome``, 0 where it is not counted."""
         return self._counter.record_sent(account, self._true_s()) if account else 0
 
     def record_outcome(self, send: int, *, has_started: bool) -> None:
-        """Say whether a call that was sent began to run."""
+        """Record whether a sent call started to run."""
         if send:
             self._counter.record_outcome(send, has_started=has_started)
 
     def observe_clock(self, replica_id: str, wall_s: float) -> None:
-        """Take a replica's time of day, in Unix seconds; 0 if it does not say."""
+        """Record a replica's wall-clock time, in Unix seconds; 0 if it sent none."""
         if wall_s:
             self._clock.add_sample(replica_id, wall_s, _steady_s())
 
-    def confirm(self, leader_id: str, receipt: usage_messages.UsageReceipt) -> None:
-        """Take a leader's receipt."""
+    def apply_receipt(self, leader_id: str, receipt: usage_messages.UsageReceipt) -> None:
+        """Apply a leader's receipt."""
         self._counter.confirm(leader_id, receipt)
 
-    def tell(self, leader_id: str) -> None:
-        """Tell the leader what it has not confirmed."""
+    def report(self, leader_id: str) -> None:
+        """Report the counts that the leader has not confirmed."""
         if leader_id:
             self._send(leader_id, self._counter.pending_report(leader_id, self._true_s()))
 
     async def report_periodically(self, session: entry_session.EntrySession) -> None:
-        """Tell the leader that the session knows, again and again."""
+        """Report to the session's current leader periodically."""
         while True:
-            self.tell(session.leader_id)
+            self.report(session.leader_id)
             await curio.sleep(usage_counter.report_period_s(session.entry_hosts))
 
     def _true_s(self) -> float:
@@ -71,5 +71,5 @@
 
 
 def _steady_s() -> float:
-    """Return the time of a clock that counts while the machine is suspended, in seconds."""
+    """Return the time of a clock that keeps running while the machine is suspended, in seconds."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/medlarfork/orders/__init__.py
+++ b/src/medlarfork/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Fenced leases, and the orders to engines that rest on one."""
+"""Fenced leases, and the control plane's orders to engines, which require one."""
--- a/src/medlarfork/orders/_declarations.py
+++ b/src/medlarfork/orders/_declarations.py
@@ -1,4 +1,4 @@
-"""Keep what operators declare of engines: one winner for each revision, one answer for each id."""
+"""Operators' declarations: optimistic concurrency by revision, idempotency by change id."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from medlarfork.orders import order_types
 
 MAX_DECLARATIONS = 1_000
-"""How many declarations are held; further ones are refused."""
+"""Maximum number of declarations; further ones are refused."""
 
 MAX_ANSWERS = 1_000
-"""How many changes' answers are remembered; the oldest go first."""
+"""Maximum number of remembered answers to changes; the oldest are evicted first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Answer:
-    """Keep the answer to a change with the digest of what was asked."""
+    """The answer to a change, with a digest of the change."""
 
     change_id: str
     digest: bytes
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeclarationsState:
-    """Hold everything for a snapshot; answers have their oldest first."""
+    """Complete state for a snapshot; answers are in order of age, oldest first."""
 
     revision: int = 0
     declared: tuple[order_types.Declared, ...] = ()
@@ -37,18 +37,18 @@
 
 
 class Declarations:
-    """Decide changes of declarations; deterministic.
+    """Replicated table of declarations; deterministic.
 
-    The revision grows with each accepted change. A change is refused if its target was changed
-    after the revision that the operator saw, so it can't take effect twice even if its answer
-    is no longer remembered.
+    The revision increases with each accepted change. A change is refused if its declaration was
+    changed after the base revision, so it can't take effect twice even after its answer was
+    evicted.
     """
 
     def __init__(self, state: DeclarationsState | None = None) -> None:
-        """Start empty, or from a snapshot."""
+        """Start empty or from a snapshot."""
         state = state or DeclarationsState()
         self._revision = state.revision
-        self._declared_by_name = {held.desired.name: held for held in state.declared}
+        self._declared_by_name = {declared.desired.name: declared for declared in state.declared}
         self._answer_by_id = collections.OrderedDict(
             (answer.change_id, answer) for answer in state.answers
         )
@@ -60,11 +60,11 @@
 
     @property
     def declared_by_name(self) -> dict[str, order_types.Declared]:
-        """Return what is declared, keyed by name."""
+        """Return the declarations, keyed by name."""
         return self._declared_by_name
 
     def state(self) -> DeclarationsState:
-        """Return everything for a snapshot."""
+        """Return the complete state for a snapshot."""
         return DeclarationsState(
             self._revision,
             tuple(self._declared_by_name.values()),
@@ -72,7 +72,7 @@
         )
 
     def declare(self, command: order_types.Declare, now_ms: int) -> order_types.BoardReply:
-        """Accept or refuse a change, or repeat the first answer to it."""
+        """Accept or refuse a change; a repeated change id gets the first answer again."""
         digest = _digest(command)
         known = self._answer_by_id.get(command.change_id)
         if known is not None:
@@ -81,7 +81,7 @@
                 if known.digest == digest
                 else self._reply(order_types.Verdict.KEY_REUSED)
             )
-        reply = self._decide(command, now_ms)
+        reply = self._apply_declare(command, now_ms)
         if command.change_id:
             self._answer_by_id[command.change_id] = _Answer(command.change_id, digest, reply)
             if len(self._answer_by_id) > MAX_ANSWERS:
@@ -89,18 +89,18 @@
         return reply
 
     def withdraw(self, name: str) -> order_types.BoardReply:
-        """Remove a declaration, if there is one."""
+        """Remove a declaration if it exists."""
         if self._declared_by_name.pop(name, None) is not None:
             self._revision += 1
         return self._reply(order_types.Verdict.ACCEPTED)
 
-    def _decide(self, command: order_types.Declare, now_ms: int) -> order_types.BoardReply:
+    def _apply_declare(self, command: order_types.Declare, now_ms: int) -> order_types.BoardReply:
         desired = command.desired
         try:
             labels.Selector.parse(desired.selector)
         except errors.SelectorSyntaxError:
             return self._reply(order_types.Verdict.INVALID)
-        if not _is_sound(desired):
+        if not _is_valid(desired):
             return self._reply(order_types.Verdict.INVALID)
         before = self._declared_by_name.get(desired.name)
         if before is None and len(self._declared_by_name) >= MAX_DECLARATIONS:
@@ -122,7 +122,7 @@
         return order_types.BoardReply(verdict, self._revision)
 
 
-def _is_sound(desired: order_types.DesiredState) -> bool:
+def _is_valid(desired: order_types.DesiredState) -> bool:
     sizes = all(weights.name and weights.size_bytes >= 0 for weights in desired.weights)
     return bool(desired.name) and sizes and 0 <= desired.max_unavailable <= 1
 
--- a/src/medlarfork/orders/_engine_progress.py
+++ b/src/medlarfork/orders/_engine_progress.py
@@ -1,4 +1,4 @@
-"""Hold where the order planner stands with one engine, and judge its orders by its state."""
+"""Order progress of one engine, and the result of an order derived from the engine's state."""
 
 from __future__ import annotations
 
@@ -6,111 +6,112 @@
 
 from medlarfork.orders import order_types
 
-MAX_REPEATS = 6
-"""After how many fruitless repeats of one action the wait between them grows no more."""
+MAX_BACKOFF_DOUBLINGS = 6
+"""Number of repeats of one action after which its backoff stops doubling."""
 
 
 class Phase(enum.Enum):
-    """Name what the planner does next with an engine at its ``due`` time.
+    """Phase of an engine; each line says what is done when the phase's timer expires.
 
     UNREAD: read its state.
-    READING: give the read up.
-    IDLE: nothing, or decide again if ``due`` is finite.
-    QUEUED: nothing; the weight store decides when its load starts.
-    MARKING: propose again to take it out of or back into service.
-    DRAINING: go on as if it had drained.
-    RECORDING: propose again to record its order.
-    SENT: take its order's result as unknown.
-    RESOLVING: propose again to record its order's result.
+    READING: treat the read as timed out.
+    IDLE: read its state and plan again; without a timer, nothing is due.
+    QUEUED: no timer; the load scheduler starts its load.
+    SETTING_IN_SERVICE: propose the change of its service status again.
+    DRAINING: treat it as drained.
+    RECORDING_ORDER: propose again to record its order.
+    SENT: treat its order's result as unknown.
+    RECORDING_RESULT: propose again to record its order's result.
     """
 
     UNREAD = enum.auto()
     READING = enum.auto()
     IDLE = enum.auto()
     QUEUED = enum.auto()
-    MARKING = enum.auto()
+    SETTING_IN_SERVICE = enum.auto()
     DRAINING = enum.auto()
-    RECORDING = enum.auto()
+    RECORDING_ORDER = enum.auto()
     SENT = enum.auto()
-    RESOLVING = enum.auto()
+    RECORDING_RESULT = enum.auto()
 
 
 _REASON_BY_PHASE = {
-    Phase.UNREAD: "its state has to be read",
+    Phase.UNREAD: "its state has not been read yet",
     Phase.READING: "its state is being read",
     Phase.QUEUED: "the weight store has no free lane",
-    Phase.MARKING: "the log has to take it out of service or put it back",
-    Phase.DRAINING: "its running requests have to finish",
-    Phase.RECORDING: "the log has to record the order",
-    Phase.RESOLVING: "the log has to record the result",
+    Phase.SETTING_IN_SERVICE: "the log has not committed the change of its service status yet",
+    Phase.DRAINING: "its running requests have not finished yet",
+    Phase.RECORDING_ORDER: "the log has not recorded the order yet",
+    Phase.RECORDING_RESULT: "the log has not recorded the result yet",
 }
-"""What operators are told of an engine that waits."""
+"""Reasons for a wait, as shown to operators."""
 
 
 class EngineProgress:
-    """Hold the mutable progress with one engine.
+    """Mutable progress of one engine.
 
     Attributes:
-        order: Its order in progress, if any.
-        result: The result being recorded while RESOLVING.
-        settled_at: Monotonic time from which its order can't be carried out any more.
-        first_read_at: Monotonic time before which it isn't read, for older holders' orders.
-        read_number: Number of the last read, repeated by the answer.
-        drained: Whether it runs no requests since it was taken out of service.
-        mark_number: Number of the last proposal of MARKING; older ones are ignored.
-        marking_in: Whether MARKING puts it back into service.
-        wanted: The weights it waits for while QUEUED.
-        last_action: The action of the last order.
-        repeats: How often that action has been ordered in a row.
-        retry_at: Monotonic time before which that action isn't ordered again.
+        order: The order in progress, if any.
+        result: The result to record while RECORDING_RESULT.
+        order_expires_at: Monotonic time from which the order can't be executed any more.
+        first_read_at: Monotonic time of the first read; until then, an order of an earlier holder
+            may still be executed.
+        read_number: Number of the last read, repeated in its answer.
+        is_drained: Whether it has finished its requests since it was taken out of service.
+        service_change_number: Number of the last proposed service change; older ones are ignored.
+        target_in_service: Whether SETTING_IN_SERVICE returns it to service.
+        queued_weights: The weights to load while QUEUED.
+        last_action: Action of the last order.
+        repeats: Consecutive repeats of that action.
+        retry_at: Monotonic time at which the backoff of that action ends.
     """
 
     def __init__(self, upstream_id: str) -> None:
-        """Start unread."""
+        """Start in phase UNREAD."""
         self.upstream_id = upstream_id
         self.phase = Phase.UNREAD
         self.order: order_types.Order | None = None
         self.result = order_types.OrderResult.UNKNOWN
-        self.settled_at = 0.0
+        self.order_expires_at = 0.0
         self.first_read_at = 0.0
         self.read_number = 0
-        self.drained = False
-        self.marking_in = False
-        self.mark_number = 0
-        self.wanted: order_types.Weights | None = None
+        self.is_drained = False
+        self.target_in_service = False
+        self.service_change_number = 0
+        self.queued_weights: order_types.Weights | None = None
         self.last_action: order_types.OrderAction | None = None
         self.repeats = 0
         self.retry_at = 0.0
 
     def waiting(self, now: float) -> order_types.Waiting | None:
-        """Return what it waits for; None if it needs nothing or carries an order out."""
+        """Return what it waits for; None if it is up to date or executes an order."""
         reason = _REASON_BY_PHASE.get(self.phase)
         if self.phase is Phase.UNREAD and now < self.first_read_at:
-            reason = "an order of an older holder may still be under way"
+            reason = "an order of an earlier lease holder may still be in progress"
         elif self.phase is Phase.IDLE and self.last_action is not None and now < self.retry_at:
-            reason = "its last order had no effect; it is repeated later"
+            reason = "its last order had no effect; it will be retried after a backoff"
         if reason is None:
             return None
-        wanted = self.wanted if self.phase is Phase.QUEUED else None
-        held = None if wanted is None else order_types.LoadedWeights(wanted.name, wanted.version)
-        return order_types.Waiting(self.upstream_id, reason, held)
+        queued = self.queued_weights if self.phase is Phase.QUEUED else None
+        weights = None if queued is None else order_types.LoadedWeights(queued.name, queued.version)
+        return order_types.Waiting(self.upstream_id, reason, weights)
 
-    def note_ordered(self, action: order_types.OrderAction) -> None:
-        """Count how often the action was ordered in a row."""
+    def record_attempt(self, action: order_types.OrderAction) -> None:
+        """Count consecutive orders of the same action."""
         self.repeats = self.repeats + 1 if self.last_action == action else 0
         self.last_action = action
 
-    def note_ended(self, now: float, wait_s: float) -> None:
-        """Set when the action may be ordered again, later with each repeat."""
-        self.retry_at = now + wait_s * 2 ** min(self.repeats, MAX_REPEATS)
+    def start_backoff(self, now: float, wait_s: float) -> None:
+        """Start the action's backoff, which doubles with each repeat."""
+        self.retry_at = now + wait_s * 2 ** min(self.repeats, MAX_BACKOFF_DOUBLINGS)
 
-    def is_held_back(self, action: order_types.OrderAction, now: float) -> bool:
-        """Return whether the action was ordered in vain and has to wait still."""
+    def is_backing_off(self, action: order_types.OrderAction, now: float) -> bool:
+        """Return whether the action had no effect when ordered and its backoff has not ended."""
         return self.last_action == action and now < self.retry_at
 
 
 def has_effect(action: order_types.OrderAction, state: order_types.EngineState) -> bool:
-    """Return whether an engine's state shows what an action asks for."""
+    """Return whether an engine's state shows the effect of an action."""
     match action:
         case order_types.LoadWeights(weights):
             return order_types.LoadedWeights(weights.name, weights.version) in state.weights
@@ -118,20 +119,20 @@
             return state.role == role
 
 
-def judge(
-    order: order_types.Order, state: order_types.EngineState, *, settled: bool
+def result_from_state(
+    order: order_types.Order, state: order_types.EngineState, *, has_expired: bool
 ) -> order_types.OrderResult | None:
-    """Return how an order of unknown result ended by the engine's state; None if still open.
+    """Return the result of an unanswered order from the engine's state; None if still open.
 
     Args:
         order: The order in progress.
         state: The engine's state, read after the order was sent.
-        settled: Whether so much time has passed that it can't be carried out any more.
+        has_expired: Whether enough time has passed that the order can't be executed any more.
     """
     if state.executing == order.order_id:
         return None
     if has_effect(order.action, state):
         return order_types.OrderResult.DONE
-    if settled or order.order_id in state.order_ids:
+    if has_expired or order.order_id in state.order_ids:
         return order_types.OrderResult.FAILED
     return None
--- a/src/medlarfork/orders/_next_step.py
+++ b/src/medlarfork/orders/_next_step.py
@@ -1,4 +1,4 @@
-"""Decide what an engine needs next to reach its declared state."""
+"""Next step of an engine toward its declared state."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rest:
-    """Nothing is missing."""
+class NoStep:
+    """The engine is in its declared state."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TakeOut:
-    """Take it out of service, if its declaration's share allows, to change its role."""
+class TakeOutOfService:
+    """Take it out of service for a role change, if ``max_unavailable`` allows."""
 
     desired: order_types.DesiredState
     role: str
@@ -23,37 +23,37 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """Wait until it runs no requests."""
+    """Wait until it has no running requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TakeRole:
-    """Order it to change its role."""
+class ChangeRole:
+    """Order the role change."""
 
     role: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PutBack:
-    """Put it back into service."""
+class ReturnToService:
+    """Return it to service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Order it to load weights when the weight store has room."""
+    """Queue a load of weights."""
 
     weights: order_types.Weights
 
 
-Step = Rest | TakeOut | Drain | TakeRole | PutBack | Load
+Step = NoStep | TakeOutOfService | Drain | ChangeRole | ReturnToService | Load
 
 
 def next_step(
     desired: order_types.DesiredState | None,
     state: order_types.EngineState,
     *,
-    out: bool,
-    drained: bool,
+    is_out_of_service: bool,
+    is_drained: bool,
     copies: Mapping[order_types.LoadedWeights, int],
 ) -> Step:
     """Return the next step for an engine.
@@ -61,30 +61,30 @@
     Args:
         desired: The declaration that applies to it, if any.
         state: Its state, just read.
-        out: Whether it is out of service.
-        drained: Whether it runs no requests since it was taken out.
-        copies: How many engines hold each version; the rarest is loaded first.
+        is_out_of_service: Whether the board has it out of service.
+        is_drained: Whether it has finished its requests since it was taken out of service.
+        copies: Number of engines that hold each version; the rarest is loaded first.
     """
     if desired is not None and desired.role not in ("", state.role):
-        if not out:
-            return TakeOut(desired, desired.role)
-        return TakeRole(desired.role) if drained else Drain()
-    if out:
-        return PutBack()
+        if not is_out_of_service:
+            return TakeOutOfService(desired, desired.role)
+        return ChangeRole(desired.role) if is_drained else Drain()
+    if is_out_of_service:
+        return ReturnToService()
     missing = () if desired is None else missing_weights(desired, state)
     if not missing:
-        return Rest()
+        return NoStep()
     return Load(min(missing, key=lambda weights: copies.get(loaded(weights), 0)))
 
 
 def loaded(weights: order_types.Weights) -> order_types.LoadedWeights:
-    """Return how an engine that holds these weights names them."""
+    """Return the entry for these weights in the state of an engine that has loaded them."""
     return order_types.LoadedWeights(weights.name, weights.version)
 
 
 def missing_weights(
     desired: order_types.DesiredState, state: order_types.EngineState
 ) -> tuple[order_types.Weights, ...]:
-    """Return the declared weights that an engine does not hold in their version, in order."""
-    held = set(state.weights)
-    return tuple(weights for weights in desired.weights if loaded(weights) not in held)
+    """Return the declared weights whose version an engine has not loaded, in order."""
+    loaded_weights = set(state.weights)
+    return tuple(weights for weights in desired.weights if loaded(weights) not in loaded_weights)
--- a/src/medlarfork/orders/_order_session.py
+++ b/src/medlarfork/orders/_order_session.py
@@ -1,4 +1,4 @@
-"""Order engines during one holding of the lease: where each stands, and its next step."""
+"""Order planning while one lease is held: the progress of each engine."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 )
 from medlarfork.settings import planner_settings
 
-BATCH = 200
-"""How many engines one call advances; the others follow at once in calls of their own."""
+MAX_STEPS_PER_CALL = 200
+"""Maximum number of engines that one call advances; the rest follow in immediate calls."""
 
 _Phase = _engine_progress.Phase
 _Engine = _engine_progress.EngineProgress
 
 
 class OrderSession:
-    """Carry the engines of one holding from step to step; a new holding has a new session.
+    """Advances each engine toward its declared state; each acquisition gets a new session.
 
     Attributes:
-        fence: The fence of the holding.
-        deposed: True once an engine or the board has shown that a newer holder exists.
+        fence: The fence of the lease.
+        deposed: True once an engine or the board has reported a newer holder.
     """
 
     def __init__(
@@ -45,7 +45,10 @@
         upstreams: inventory.Inventory,
         now: float,
     ) -> None:
-        """Start when the lease was acquired; orders of older holders may be under way."""
+        """Create the session when the lease is acquired.
+
+        Orders of earlier holders may still be in progress.
+        """
         self.fence = fence
         self.deposed = False
         self._settings = settings
@@ -53,73 +56,73 @@
         self._board = board
         self._upstreams = upstreams
         self._fleet = _fleet.Fleet(board, upstreams)
-        self._store = weight_load_scheduler.WeightLoadScheduler(settings.store)
-        self._clear_of_older_at = now + settings.order_time_s
+        self._scheduler = weight_load_scheduler.WeightLoadScheduler(settings.store)
+        self._earlier_orders_expire_at = now + settings.order_time_s
         self._engine_by_id: dict[str, _Engine] = {}
         self._engine_by_order: dict[str, _Engine] = {}
         self._timers = _timer_heap.TimerHeap[str]()
-        self._replan: collections.deque[str] = collections.deque()
+        self._replan_queue: collections.deque[str] = collections.deque()
         self._numbers = itertools.count(1)
         self._next_read_at = now
         self._actions: list[Any] = []
 
     def take_actions(self) -> tuple[Any, ...]:
-        """Return the actions since the last call, in order."""
+        """Return and clear the actions since the last call, in order."""
         actions = tuple(self._actions)
         self._actions.clear()
         return actions
 
     def waiting(self, now: float) -> tuple[order_types.Waiting, ...]:
-        """Return which engines wait for what before their next order."""
+        """Return the engines whose next order is delayed, with the reason."""
         found = (engine.waiting(now) for engine in self._engine_by_id.values())
         return tuple(waiting for waiting in found if waiting is not None)
 
     def next_wake(self, now: float) -> float:
-        """Return the monotonic time at which ``advance`` has something to do."""
-        granted_at = self._store.next_grant_at(now)
-        if self._replan:
+        """Return the monotonic time at which ``advance`` is due next."""
+        granted_at = self._scheduler.next_grant_at(now)
+        if self._replan_queue:
             return now
         return min(self._timers.earliest(), math.inf if granted_at is None else granted_at)
 
     def advance(self, now: float) -> None:
-        """Take the steps that are due, at most ``BATCH`` of them."""
-        for _ in range(min(BATCH, len(self._replan))):
-            self._replan_one(self._replan.popleft(), now)
-        for _ in range(BATCH):
+        """Run due steps, at most ``MAX_STEPS_PER_CALL`` replans and as many timers."""
+        for _ in range(min(MAX_STEPS_PER_CALL, len(self._replan_queue))):
+            self._schedule_replan(self._replan_queue.popleft(), now)
+        for _ in range(MAX_STEPS_PER_CALL):
             upstream_id = self._timers.pop_due(now)
             if upstream_id is None:
                 break
-            self._step(self._engine_by_id[upstream_id], now)
-        for grant in self._store.grant(now):
+            self._run_due_step(self._engine_by_id[upstream_id], now)
+        for grant in self._scheduler.grant(now):
             self._on_grant(self._engine_by_id[grant.load_id], grant, now)
 
     def start(self, now: float) -> None:
-        """Begin with all engines, once the board refuses whatever older holders propose."""
+        """Add all engines, once the board refuses proposals of earlier holders."""
         on_board = (*self._board.order_by_upstream, *sorted(self._board.out_of_service))
         for upstream_id in (*on_board, *self._upstreams.upstream_by_id):
             if upstream_id not in self._engine_by_id:
-                self._add(upstream_id, self._paced(now))
+                self._add(upstream_id, self._reserve_read_time(now))
 
-    def on_declarations(self) -> None:
-        """Plan all engines anew after a declaration was added, replaced or removed."""
-        self._fleet.rebuild()
-        self._replan = collections.deque(self._engine_by_id)
+    def on_declarations_changed(self) -> None:
+        """Schedule a replan of all engines after a change of declarations."""
+        self._fleet.reload_declarations()
+        self._replan_queue = collections.deque(self._engine_by_id)
 
-    def on_inventory(self, upstream_id: str, now: float) -> None:
-        """Take note of an engine that appeared, changed or went."""
+    def on_inventory_changed(self, upstream_id: str, now: float) -> None:
+        """Handle an engine that was added, changed or removed."""
         engine = self._engine_by_id.get(upstream_id)
         if engine is None:
             if upstream_id in self._upstreams.upstream_by_id:
                 self._add(upstream_id, now)
         elif engine.phase in (_Phase.IDLE, _Phase.QUEUED):
-            self._store.release(upstream_id)
-            self._set(engine, _Phase.UNREAD, now)
+            self._scheduler.release(upstream_id)
+            self._set_phase(engine, _Phase.UNREAD, now)
         elif engine.phase is _Phase.READING:
-            # The answer on its way may be older than the change.
-            self._set(engine, _Phase.UNREAD, now)
+            # The answer in flight may be older than the change.
+            self._set_phase(engine, _Phase.UNREAD, now)
 
-    def on_read(self, read: order_types.EngineStateRead, now: float) -> None:
-        """Judge the engine's open order by its state, or decide what it needs next."""
+    def on_state_read(self, read: order_types.EngineStateRead, now: float) -> None:
+        """Derive the result of the open order from the state, or start the next step."""
         engine = self._engine_by_id.get(read.upstream_id)
         if engine is None or engine.phase is not _Phase.READING:
             return
@@ -130,17 +133,19 @@
             return
         self._fleet.record_weights(read.upstream_id, read.state.weights)
         if engine.order is None:
-            self._decide(engine, read.state, now)
+            self._start_next_step(engine, read.state, now)
             return
-        settled = now >= engine.settled_at
-        result = _engine_progress.judge(engine.order, read.state, settled=settled)
+        has_expired = now >= engine.order_expires_at
+        result = _engine_progress.result_from_state(
+            engine.order, read.state, has_expired=has_expired
+        )
         if result is None:
-            self._set(engine, _Phase.UNREAD, now + self._settings.poll_s)
+            self._set_phase(engine, _Phase.UNREAD, now + self._settings.poll_s)
         else:
-            self._resolve(engine, result, now)
+            self._propose_result(engine, result, now)
 
     def on_order_done(self, done: order_types.OrderDone, now: float) -> None:
-        """Take a sent order's result; an unknown one is found out by reading back."""
+        """Handle a sent order's result; an unknown one is resolved by reading the state."""
         engine = self._engine_by_order.get(done.order_id)
         if engine is None or engine.phase is not _Phase.SENT:
             return
@@ -148,35 +153,35 @@
             case order_types.OrderResult.REFUSED_FENCE:
                 self.deposed = True
             case order_types.OrderResult.UNKNOWN:
-                self._set(engine, _Phase.UNREAD, now)
+                self._set_phase(engine, _Phase.UNREAD, now)
             case _:
-                self._resolve(engine, done.result, now)
+                self._propose_result(engine, done.result, now)
 
     def on_drained(self, upstream_id: str, now: float) -> None:
-        """Go on with an engine that runs no requests any more."""
+        """Continue with an engine that has no running requests left."""
         engine = self._engine_by_id.get(upstream_id)
         if engine is not None and engine.phase is _Phase.DRAINING:
-            engine.drained = True
-            self._set(engine, _Phase.UNREAD, now)
+            engine.is_drained = True
+            self._set_phase(engine, _Phase.UNREAD, now)
 
-    def on_recorded(
+    def on_order_recorded(
         self, order: order_types.Order, verdict: order_types.Verdict, now: float
     ) -> None:
-        """Send an order that is on the board now, if the lease still holds."""
+        """Send an order that the board has recorded, if the lease is still valid."""
         engine = self._engine_by_order.get(order.order_id)
-        if engine is None or engine.phase is not _Phase.RECORDING:
+        if engine is None or engine.phase is not _Phase.RECORDING_ORDER:
             return
         if verdict is not order_types.Verdict.ACCEPTED:
             self._drop_order(engine)
-            self._set(engine, _Phase.UNREAD, now + self._settings.poll_s)
+            self._set_phase(engine, _Phase.UNREAD, now + self._settings.poll_s)
             return
-        engine.settled_at = now + self._settings.order_time_s
+        engine.order_expires_at = now + self._settings.order_time_s
         notice = self._upstreams.upstream_by_id.get(engine.upstream_id)
         if notice is None or not self._lease.may_act(now):
-            # Recorded and never sent: it is closed by reading back, like a lost one.
-            self._set(engine, _Phase.UNREAD, now)
+            # Recorded but never sent: resolved by reading the state, like a lost order.
+            self._set_phase(engine, _Phase.UNREAD, now)
             return
-        self._set(engine, _Phase.SENT, engine.settled_at)
+        self._set_phase(engine, _Phase.SENT, engine.order_expires_at)
         self._actions.append(
             order_types.OrderEngine(
                 upstream_id=engine.upstream_id,
@@ -189,71 +194,71 @@
             )
         )
 
-    def on_resolved(self, command: order_types.RecordResult, now: float) -> None:
-        """Go on after an order's result is on the board."""
+    def on_result_recorded(self, command: order_types.RecordResult, now: float) -> None:
+        """Continue after the board has recorded an order's result."""
         engine = self._engine_by_order.get(command.order_id)
-        if engine is None or engine.phase is not _Phase.RESOLVING:
+        if engine is None or engine.phase is not _Phase.RECORDING_RESULT:
             return
-        engine.note_ended(now, self._settings.poll_s)
+        engine.start_backoff(now, self._settings.poll_s)
         self._drop_order(engine)
-        self._set(engine, _Phase.UNREAD, now)
+        self._set_phase(engine, _Phase.UNREAD, now)
 
-    def on_marked(
+    def on_service_changed(
         self, command: order_types.SetInService, verdict: order_types.Verdict, now: float
     ) -> None:
-        """Go on after the board took an engine out of service or put it back."""
+        """Continue after the board has applied or refused a change of service status."""
         engine = self._engine_by_id.get(command.upstream_id)
-        if engine is None or engine.phase is not _Phase.MARKING:
+        if engine is None or engine.phase is not _Phase.SETTING_IN_SERVICE:
             return
-        if command.number != engine.mark_number:
+        if command.number != engine.service_change_number:
             return
         self._fleet.release_reservation(command.upstream_id)
-        engine.drained = False
+        engine.is_drained = False
         if verdict is order_types.Verdict.ACCEPTED and not command.in_service:
-            self._set(engine, _Phase.DRAINING, now + self._settings.drain_s)
+            self._set_phase(engine, _Phase.DRAINING, now + self._settings.drain_s)
         else:
-            self._set(engine, _Phase.UNREAD, now)
+            self._set_phase(engine, _Phase.UNREAD, now)
 
     def _add(self, upstream_id: str, first_read: float) -> None:
         notice = self._upstreams.upstream_by_id.get(upstream_id)
         if notice is None or not notice.checks_fence:
-            # An older holder's order may be on its way still, and the engine would obey it.
-            first_read = max(first_read, self._clear_of_older_at)
+            # An earlier holder's order may still be in flight, and the engine would execute it.
+            first_read = max(first_read, self._earlier_orders_expire_at)
         engine = _Engine(upstream_id)
         engine.first_read_at = first_read
         self._engine_by_id[upstream_id] = engine
-        self._set(engine, _Phase.UNREAD, first_read)
+        self._set_phase(engine, _Phase.UNREAD, first_read)
         order = self._board.order_by_upstream.get(upstream_id)
         if order is None:
             return
         engine.order = order
-        engine.settled_at = self._clear_of_older_at
+        engine.order_expires_at = self._earlier_orders_expire_at
         self._engine_by_order[order.order_id] = engine
         if order.load is not None:
-            self._store.occupy(upstream_id, order.load.weights.size_bytes, first_read)
+            self._scheduler.occupy(upstream_id, order.load.weights.size_bytes, first_read)
 
-    def _paced(self, now: float) -> float:
-        """Return the next time at which a read of many may happen."""
+    def _reserve_read_time(self, now: float) -> float:
+        """Return the next free read time; bulk reads keep to ``reads_per_second``."""
         at = max(now, self._next_read_at)
         self._next_read_at = at + 1 / self._settings.reads_per_second
         return at
 
-    def _step(self, engine: _Engine, now: float) -> None:
+    def _run_due_step(self, engine: _Engine, now: float) -> None:
         match engine.phase:
             case _Phase.UNREAD | _Phase.IDLE:
                 self._read(engine, now)
             case _Phase.READING:
                 self._on_unreadable(engine, now)
             case _Phase.SENT:
-                self._set(engine, _Phase.UNREAD, now)
+                self._set_phase(engine, _Phase.UNREAD, now)
             case _Phase.DRAINING:
                 self.on_drained(engine.upstream_id, now)
-            case _Phase.RECORDING:
-                self._record(engine, now)
-            case _Phase.RESOLVING:
-                self._resolve(engine, engine.result, now)
-            case _Phase.MARKING:
-                self._mark(engine, engine.marking_in, now)
+            case _Phase.RECORDING_ORDER:
+                self._propose_order(engine, now)
+            case _Phase.RECORDING_RESULT:
+                self._propose_result(engine, engine.result, now)
+            case _Phase.SETTING_IN_SERVICE:
+                self._propose_in_service(engine, engine.target_in_service, now)
 
     def _read(self, engine: _Engine, now: float) -> None:
         notice = self._upstreams.upstream_by_id.get(engine.upstream_id)
@@ -264,61 +269,61 @@
         self._actions.append(
             order_types.ReadEngineState(engine.upstream_id, notice.address, engine.read_number)
         )
-        self._set(engine, _Phase.READING, now + self._settings.read_timeout_s)
+        self._set_phase(engine, _Phase.READING, now + self._settings.read_timeout_s)
 
     def _on_unreadable(self, engine: _Engine, now: float) -> None:
         gone = engine.upstream_id not in self._upstreams.upstream_by_id
         if gone and engine.order is None:
-            self._forget(engine, now)
+            self._remove(engine, now)
             return
-        if engine.order is not None and now >= engine.settled_at:
-            self._store.release(engine.upstream_id)
+        if engine.order is not None and now >= engine.order_expires_at:
+            self._scheduler.release(engine.upstream_id)
             if gone:
-                self._resolve(engine, order_types.OrderResult.UNKNOWN, now)
+                self._propose_result(engine, order_types.OrderResult.UNKNOWN, now)
                 return
-        self._set(engine, _Phase.UNREAD, now + self._settings.poll_s)
+        self._set_phase(engine, _Phase.UNREAD, now + self._settings.poll_s)
 
-    def _replan_one(self, upstream_id: str, now: float) -> None:
+    def _schedule_replan(self, upstream_id: str, now: float) -> None:
         engine = self._engine_by_id.get(upstream_id)
         if engine is not None and engine.phase in (_Phase.IDLE, _Phase.QUEUED):
-            self._store.release(upstream_id)
-            self._set(engine, _Phase.UNREAD, self._paced(now))
+            self._scheduler.release(upstream_id)
+            self._set_phase(engine, _Phase.UNREAD, self._reserve_read_time(now))
 
-    def _decide(self, engine: _Engine, state: order_types.EngineState, now: float) -> None:
+    def _start_next_step(self, engine: _Engine, state: order_types.EngineState, now: float) -> None:
         desired = self._fleet.desired(engine.upstream_id)
         step = _next_step.next_step(
             desired,
             state,
-            out=self._board.is_out(engine.upstream_id),
-            drained=engine.drained,
+            is_out_of_service=self._board.is_out_of_service(engine.upstream_id),
+            is_drained=engine.is_drained,
             copies=self._fleet.copies,
         )
         match step:
-            case _next_step.Rest():
+            case _next_step.NoStep():
                 engine.last_action = None
-                self._set(engine, _Phase.IDLE, math.inf)
-            case _next_step.TakeOut(declaration, role):
-                self._take_out(engine, declaration, role, now)
+                self._set_phase(engine, _Phase.IDLE, math.inf)
+            case _next_step.TakeOutOfService(declaration, role):
+                self._take_out_of_service(engine, declaration, role, now)
             case _next_step.Drain():
-                self._set(engine, _Phase.DRAINING, now + self._settings.drain_s)
-            case _next_step.TakeRole(role):
-                self._order(engine, order_types.ChangeRole(role), now)
-            case _next_step.PutBack():
-                self._mark(engine, True, now)
+                self._set_phase(engine, _Phase.DRAINING, now + self._settings.drain_s)
+            case _next_step.ChangeRole(role):
+                self._start_order(engine, order_types.ChangeRole(role), now)
+            case _next_step.ReturnToService():
+                self._propose_in_service(engine, True, now)
             case _next_step.Load(weights):
-                self._queue(engine, weights, state, now)
+                self._queue_load(engine, weights, state, now)
 
-    def _take_out(
+    def _take_out_of_service(
         self, engine: _Engine, desired: order_types.DesiredState, role: str, now: float
     ) -> None:
-        if self._is_held_back(engine, order_types.ChangeRole(role), now):
+        if self._is_backing_off(engine, order_types.ChangeRole(role), now):
             return
         if self._fleet.reserve_out_of_service(engine.upstream_id, desired):
-            self._mark(engine, False, now)
+            self._propose_in_service(engine, False, now)
         else:
-            self._set(engine, _Phase.IDLE, now + self._settings.poll_s)
+            self._set_phase(engine, _Phase.IDLE, now + self._settings.poll_s)
 
-    def _queue(
+    def _queue_load(
         self,
         engine: _Engine,
         weights: order_types.Weights,
@@ -326,74 +331,76 @@
         now: float,
     ) -> None:
         rate = self._settings.store.lane_bytes_per_second
-        if self._is_held_back(engine, order_types.LoadWeights(weights, rate), now):
+        if self._is_backing_off(engine, order_types.LoadWeights(weights, rate), now):
             return
-        if not self._store.request(engine.upstream_id, engine.upstream_id, weights.size_bytes):
-            self._set(engine, _Phase.IDLE, now + self._settings.poll_s)
+        if not self._scheduler.request(engine.upstream_id, engine.upstream_id, weights.size_bytes):
+            self._set_phase(engine, _Phase.IDLE, now + self._settings.poll_s)
             return
-        engine.wanted = weights
+        engine.queued_weights = weights
         held = (*state.weights, _next_step.loaded(weights))
         self._fleet.record_weights(engine.upstream_id, held)
-        self._set(engine, _Phase.QUEUED, math.inf)
+        self._set_phase(engine, _Phase.QUEUED, math.inf)
 
-    def _is_held_back(self, engine: _Engine, action: order_types.OrderAction, now: float) -> bool:
-        if not engine.is_held_back(action, now):
+    def _is_backing_off(self, engine: _Engine, action: order_types.OrderAction, now: float) -> bool:
+        if not engine.is_backing_off(action, now):
             return False
-        self._set(engine, _Phase.IDLE, engine.retry_at)
+        self._set_phase(engine, _Phase.IDLE, engine.retry_at)
         return True
 
     def _on_grant(self, engine: _Engine, grant: weight_load_scheduler.Grant, now: float) -> None:
-        assert engine.wanted is not None
-        action = order_types.LoadWeights(engine.wanted, grant.bytes_per_second)
-        self._order(engine, action, now)
+        assert engine.queued_weights is not None
+        action = order_types.LoadWeights(engine.queued_weights, grant.bytes_per_second)
+        self._start_order(engine, action, now)
 
-    def _order(self, engine: _Engine, action: order_types.OrderAction, now: float) -> None:
-        engine.note_ordered(action)
+    def _start_order(self, engine: _Engine, action: order_types.OrderAction, now: float) -> None:
+        engine.record_attempt(action)
         engine.order = order_types.Order.of(
             self.fence, next(self._numbers), engine.upstream_id, action
         )
         self._engine_by_order[engine.order.order_id] = engine
-        self._record(engine, now)
+        self._propose_order(engine, now)
 
-    def _record(self, engine: _Engine, now: float) -> None:
+    def _propose_order(self, engine: _Engine, now: float) -> None:
         assert engine.order is not None
         self._propose(order_types.RecordOrder(engine.order))
-        self._set(engine, _Phase.RECORDING, now + self._settings.retry_s)
+        self._set_phase(engine, _Phase.RECORDING_ORDER, now + self._settings.retry_s)
 
-    def _resolve(self, engine: _Engine, result: order_types.OrderResult, now: float) -> None:
+    def _propose_result(self, engine: _Engine, result: order_types.OrderResult, now: float) -> None:
         assert engine.order is not None
         engine.result = result
         order_id = engine.order.order_id
         self._propose(order_types.RecordResult(self.fence, engine.upstream_id, order_id, result))
-        self._set(engine, _Phase.RESOLVING, now + self._settings.retry_s)
+        self._set_phase(engine, _Phase.RECORDING_RESULT, now + self._settings.retry_s)
 
-    def _mark(self, engine: _Engine, in_service: bool, now: float) -> None:
-        engine.marking_in = in_service
-        engine.mark_number = next(self._numbers)
+    def _propose_in_service(self, engine: _Engine, in_service: bool, now: float) -> None:
+        engine.target_in_service = in_service
+        engine.service_change_number = next(self._numbers)
         self._propose(
-            order_types.SetInService(self.fence, engine.mark_number, engine.upstream_id, in_service)
+            order_types.SetInService(
+                self.fence, engine.service_change_number, engine.upstream_id, in_service
+            )
         )
-        self._set(engine, _Phase.MARKING, now + self._settings.retry_s)
+        self._set_phase(engine, _Phase.SETTING_IN_SERVICE, now + self._settings.retry_s)
 
     def _propose(self, command: order_types.BoardCommand) -> None:
         self._actions.append(order_types.ProposeCommand(command))
 
-    def _set(self, engine: _Engine, phase: _Phase, due: float) -> None:
+    def _set_phase(self, engine: _Engine, phase: _Phase, due: float) -> None:
         engine.phase = phase
         self._timers.set(engine.upstream_id, due)
 
     def _drop_order(self, engine: _Engine) -> None:
         assert engine.order is not None
         self._engine_by_order.pop(engine.order.order_id, None)
-        self._store.release(engine.upstream_id)
+        self._scheduler.release(engine.upstream_id)
         engine.order = None
 
-    def _forget(self, engine: _Engine, now: float) -> None:
-        """Drop an engine that is gone; put it back into service for its return."""
-        if self._board.is_out(engine.upstream_id):
-            self._mark(engine, True, now)
+    def _remove(self, engine: _Engine, now: float) -> None:
+        """Remove an engine that is gone, after returning it to service in case it comes back."""
+        if self._board.is_out_of_service(engine.upstream_id):
+            self._propose_in_service(engine, True, now)
             return
-        self._store.release(engine.upstream_id)
-        self._fleet.forget(engine.upstream_id)
+        self._scheduler.release(engine.upstream_id)
+        self._fleet.remove(engine.upstream_id)
         self._timers.clear(engine.upstream_id)
         del self._engine_by_id[engine.upstream_id]
--- a/src/medlarfork/orders/fenced_lease.py
+++ b/src/medlarfork/orders/fenced_lease.py
@@ -1,14 +1,14 @@
-"""Hold a named lease through a replicated log, with a fence number that grows with each holder.
+"""Lease held through a replicated log, with a fencing token that increases with each holder.
 
-A taker first reads the lease's state by a take that may be refused. If somebody holds it, the
-taker waits the holder's whole duration on its own monotonic clock and takes the lease only if its
-state is still the same, that is, if no renewal came in between. A holder counts its time from the
-moment at which it proposed the take or renewal, before it can have committed. Both ends allow for
-clocks that run at different rates, so a new holder begins after the old one has stopped, without
-any clock being compared with another.
+A taker first reads the lease's version by a take that may be refused. If the lease is held, the
+taker waits for the holder's full duration on its own monotonic clock and takes the lease only if
+its version is unchanged, that is, if it was not renewed meanwhile. A holder measures its duration
+from the time at which it proposed the take or renewal, before that can have been committed. Both
+sides allow for clock drift, so a new holder starts only after the old one has stopped, without
+comparing clocks between hosts.
 
-The clock must not stop while the process can't run. Where whole hosts are suspended, pass times
-of a clock that counts the suspension too (``CLOCK_BOOTTIME`` on Linux).
+The clock must keep running while the process is stopped. If hosts can be suspended, use a clock
+that includes suspended time (``CLOCK_BOOTTIME`` on Linux).
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Configure a lease.
+    """Settings of a lease.
 
     Attributes:
         name: Name of the lease in the log.
-        holder: Identity of this process, different for each of its starts.
+        holder: Identity of this process, unique for each of its starts.
         duration_s: How long a take or renewal lasts, in seconds.
-        renew_s: Time between renewals, in seconds; well under ``duration_s``.
-        retry_s: Time after which an unanswered proposal is made again, in seconds.
-        drift: Largest difference of a clock's rate from true time, as a share.
+        renew_s: Time between renewals, in seconds; must be well below ``duration_s``.
+        retry_s: Time after which an unanswered proposal is retried, in seconds.
+        drift: Maximum clock drift, as a fraction of elapsed time.
     """
 
     name: str
@@ -45,23 +45,26 @@
 class _Phase(enum.Enum):
     IDLE = enum.auto()
     TAKING = enum.auto()
-    WAITING_OUT = enum.auto()
+    WAITING_FOR_EXPIRY = enum.auto()
     HOLDING = enum.auto()
 
 
 class FencedLease:
-    """Acquire, renew and give up one lease; pure, see ``node.Node``."""
+    """State machine that acquires, renews and releases one lease.
+
+    Pure: no I/O, no clock (see ``node.Node``).
+    """
 
     def __init__(self, settings: LeaseSettings) -> None:
-        """Start without the lease and without wanting it."""
+        """Start without the lease; nothing is proposed before the first event."""
         self._settings = settings
         self._phase = _Phase.IDLE
-        # The state nobody else acts under any more: free, our own, or waited out.
-        self._takeable = lease_types.LeaseVersion()
-        self._waiting_for = lease_types.LeaseVersion()
+        # A version under which no other process acts: free, our own, or expired.
+        self._takeable_version = lease_types.LeaseVersion()
+        self._waited_version = lease_types.LeaseVersion()
         self._attempt = 0
         self._proposed_at = 0.0
-        self._due = 0.0
+        self._timer_at = 0.0
         self._valid_until = 0.0
         self._fence = 0
 
@@ -72,14 +75,14 @@
 
     @property
     def valid_until(self) -> float:
-        """Return the monotonic time at which the lease ends unless renewed, in seconds."""
+        """Return the monotonic time at which the lease expires unless renewed, in seconds."""
         return self._valid_until if self._phase is _Phase.HOLDING else 0.0
 
     def may_act(self, now: float) -> bool:
-        """Return whether this process may act as the holder; ask right before each act.
+        """Return whether this process may act as the holder; check right before each act.
 
-        ``now`` must have been read from the clock just before the call: a process that was
-        frozen finds out here, before any timer has run.
+        ``now`` must be read from the clock just before the call, so that a process that was
+        suspended notices the expiry here, before any timer has fired.
         """
         return self._phase is _Phase.HOLDING and now < self._valid_until
 
@@ -90,33 +93,33 @@
             case node.Started() | lease_types.LeadershipWon() if self._phase is _Phase.IDLE:
                 actions += self._take(now)
             case lease_types.LeadershipLost():
-                actions += self._stop()
+                actions += self._end_holding()
             case lease_types.RaiseFence() if self._phase is _Phase.HOLDING:
                 actions += self._take(now)
             case lease_types.Stopping():
                 actions += self._release()
             case lease_types.TakeCommitted(attempt, reply):
-                actions += self._on_take(attempt, reply, now)
+                actions += self._on_take_reply(attempt, reply, now)
             case lease_types.RenewCommitted(attempt, reply):
-                actions += self._on_renew(attempt, reply, now)
+                actions += self._on_renew_reply(attempt, reply, now)
             case node.TimeDue():
-                actions += self._on_due(now)
+                actions += self._on_timer(now)
         return actions
 
     def _expire(self, now: float) -> tuple[Any, ...]:
         if self._phase is not _Phase.HOLDING or now < self._valid_until:
             return ()
-        lost = self._stop()
+        lost = self._end_holding()
         return lost + self._take(now)
 
-    def _stop(self) -> tuple[Any, ...]:
+    def _end_holding(self) -> tuple[Any, ...]:
         was_holding = self._phase is _Phase.HOLDING
         self._phase = _Phase.IDLE
         self._attempt += 1
         return (lease_types.Lost(self._fence),) if was_holding else ()
 
     def _release(self) -> tuple[Any, ...]:
-        lost = self._stop()
+        lost = self._end_holding()
         if not lost:
             return ()
         release = lease_types.ReleaseLease(
@@ -124,14 +127,14 @@
         )
         return (*lost, lease_types.Propose(release))
 
-    def _on_due(self, now: float) -> tuple[Any, ...]:
-        if self._phase is not _Phase.IDLE and now < self._due:
-            return (node.Wake(self._due),)
+    def _on_timer(self, now: float) -> tuple[Any, ...]:
+        if self._phase is not _Phase.IDLE and now < self._timer_at:
+            return (node.Wake(self._timer_at),)
         match self._phase:
             case _Phase.TAKING:
                 return self._take(now)
-            case _Phase.WAITING_OUT:
-                self._takeable = self._waiting_for
+            case _Phase.WAITING_FOR_EXPIRY:
+                self._takeable_version = self._waited_version
                 return self._take(now)
             case _Phase.HOLDING:
                 return self._renew(now)
@@ -140,48 +143,51 @@
 
     def _take(self, now: float) -> tuple[Any, ...]:
         self._phase = _Phase.TAKING
-        self._propose_at(now)
+        self._start_attempt(now)
         command = lease_types.TakeLease(
             name=self._settings.name,
             holder=self._settings.holder,
             attempt=self._attempt,
             duration_s=self._settings.duration_s,
-            seen=self._takeable,
+            seen=self._takeable_version,
         )
         return (lease_types.Propose(command), self._wake_at(now + self._settings.retry_s))
 
     def _renew(self, now: float) -> tuple[Any, ...]:
-        self._propose_at(now)
+        self._start_attempt(now)
         command = lease_types.RenewLease(
             self._settings.name, self._fence, self._settings.holder, self._attempt
         )
         wake = self._wake_at(min(now + self._settings.retry_s, self._valid_until))
         return (lease_types.Propose(command), wake)
 
-    def _propose_at(self, now: float) -> None:
+    def _start_attempt(self, now: float) -> None:
         self._attempt += 1
         self._proposed_at = now
 
     def _wake_at(self, at: float) -> node.Wake:
-        self._due = at
+        self._timer_at = at
         return node.Wake(at)
 
-    def _on_take(self, attempt: int, reply: lease_types.LeaseReply, now: float) -> tuple[Any, ...]:
+    def _on_take_reply(
+        self, attempt: int, reply: lease_types.LeaseReply, now: float
+    ) -> tuple[Any, ...]:
         if self._phase is not _Phase.TAKING or attempt != self._attempt:
             return ()
         if reply.accepted:
-            self._takeable = reply.version
-            return self._on_taken(reply, now)
+            self._takeable_version = reply.version
+            return self._on_acquired(reply, now)
         if reply.holder in ("", self._settings.holder):
-            # Nobody acts under it: it is free, or ours by a take whose reply came too late.
-            self._takeable = reply.version
+            # Nobody acts under this version: the lease is free, or it is ours by a take whose reply
+            # came too late.
+            self._takeable_version = reply.version
             return self._take(now)
-        self._phase = _Phase.WAITING_OUT
-        self._waiting_for = reply.version
+        self._phase = _Phase.WAITING_FOR_EXPIRY
+        self._waited_version = reply.version
         return (self._wake_at(now + reply.duration_s * (1 + self._settings.drift)),)
 
-    def _on_taken(self, reply: lease_types.LeaseReply, now: float) -> tuple[Any, ...]:
-        valid_until = self._proposed_at + self._measured_duration()
+    def _on_acquired(self, reply: lease_types.LeaseReply, now: float) -> tuple[Any, ...]:
+        valid_until = self._proposed_at + self._safe_duration_s()
         if now >= valid_until:
             return self._take(now)
         self._phase = _Phase.HOLDING
@@ -190,15 +196,17 @@
         wake = self._wake_at(min(now + self._settings.renew_s, valid_until))
         return (lease_types.Acquired(self._fence), wake)
 
-    def _on_renew(self, attempt: int, reply: lease_types.LeaseReply, now: float) -> tuple[Any, ...]:
+    def _on_renew_reply(
+        self, attempt: int, reply: lease_types.LeaseReply, now: float
+    ) -> tuple[Any, ...]:
         if self._phase is not _Phase.HOLDING or attempt != self._attempt:
             return ()
         if not reply.accepted:
-            lost = self._stop()
+            lost = self._end_holding()
             return lost + self._take(now)
-        self._takeable = reply.version
-        self._valid_until = self._proposed_at + self._measured_duration()
+        self._takeable_version = reply.version
+        self._valid_until = self._proposed_at + self._safe_duration_s()
         return (self._wake_at(min(now + self._settings.renew_s, self._valid_until)),)
 
-    def _measured_duration(self) -> float:
+    def _safe_duration_s(self) -> float:
         return self._settings.duration_s * (1 - self._settings.drift)
--- a/src/medlarfork/orders/inventory.py
+++ b/src/medlarfork/orders/inventory.py
@@ -1,8 +1,8 @@
-"""Keep the inventory of upstreams at the control leader, from entry hosts' notices.
+"""Inventory of upstreams at the control leader, built from the notices of entry hosts.
 
-Entry hosts hear the announcements and send a notice only when something in it changes. Each keeps
-a digest of all its current notices and puts it into its heartbeats; a leader whose own digest for
-that entry host differs, because it is new or a message was lost, asks for all of them again.
+Entry hosts receive the announcements and send a notice only when its content changes. Each keeps a
+digest of all its current notices and includes it in its heartbeats; if the leader's own digest for
+that entry host differs, because the leader is new or a message was lost, it requests a resend.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 import msgspec
 
 MAX_NOTICES = 200
-"""How many notices one message carries; entry hosts split longer lists."""
+"""Maximum number of notices in one message; entry hosts split longer lists."""
 
 MAX_UPSTREAMS_PER_ENTRY = 5_000
-"""How many upstreams of one entry host the inventory holds; further ones are refused."""
+"""Maximum number of upstreams of one entry host; further ones are refused."""
 
 MAX_ENTRIES = 2_000
-"""From how many entry hosts the inventory holds notices; further ones are refused."""
+"""Maximum number of entry hosts; notices from further ones are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamNotice:
-    """Tell the control leader what an upstream announced last.
+    """Latest announcement of an upstream, as reported to the control leader.
 
     Attributes:
-        incarnation: Grows with each start of the upstream.
-        gone: True once it has left or its lease has ended at the sender.
+        incarnation: Increases with each start of the upstream.
+        gone: True once it has left or its lease has expired at the sender.
     """
 
     upstream_id: str
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InventoryReport:
-    """Carry an entry host's notices; ``whole`` starts a resend and forgets the earlier ones."""
+    """Notices of an entry host; ``whole`` starts a resend and discards earlier notices."""
 
     entry_id: str
     notices: tuple[UpstreamNotice, ...]
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResendInventory:
-    """Ask an entry host for all its notices; its first report is marked ``whole``."""
+    """Request all notices of an entry host; its first report is marked ``whole``."""
 
     entry_id: str
 
@@ -61,8 +61,8 @@
 def notice_digest(notice: UpstreamNotice) -> int:
     """Return a 64-bit digest of a notice; 0 if the upstream is gone.
 
-    The digest of a set of notices is the exclusive or of their digests, so that both ends can
-    keep it up to date one notice at a time.
+    The digest of a set of notices is the XOR of their digests, so that both sides can update it
+    one notice at a time.
     """
     if notice.gone:
         return 0
@@ -79,10 +79,10 @@
 
 
 class Inventory:
-    """Merge the notices of all entry hosts; the highest incarnation of an upstream wins."""
+    """Merges the notices of all entry hosts; the highest incarnation of an upstream wins."""
 
     def __init__(self) -> None:
-        """Start empty, as a new leader does."""
+        """Start empty."""
         self._notices_by_entry: dict[str, dict[str, UpstreamNotice]] = {}
         self._digest_by_entry: dict[str, int] = {}
         self._entries_by_upstream: dict[str, dict[str, None]] = {}
@@ -91,13 +91,13 @@
 
     @property
     def upstream_by_id(self) -> dict[str, UpstreamNotice]:
-        """Return the upstreams that are present, keyed by id."""
+        """Return the present upstreams, keyed by id."""
         return self._upstream_by_id
 
     def apply(self, report: InventoryReport) -> tuple[str, ...]:
-        """Apply a report and return the ids of upstreams that appeared, changed or went.
+        """Apply a report and return the ids of upstreams that were added, changed or removed.
 
-        Notices over a bound are counted in ``refused`` and left out.
+        Notices beyond a limit are ignored and counted in ``refused``.
         """
         if report.entry_id not in self._notices_by_entry:
             if len(self._notices_by_entry) >= MAX_ENTRIES:
@@ -107,26 +107,26 @@
             self._digest_by_entry[report.entry_id] = 0
         touched: dict[str, None] = {}
         if report.whole:
-            touched.update(self._forget_notices(report.entry_id))
+            touched.update(self._clear_notices(report.entry_id))
         for notice in report.notices[:MAX_NOTICES]:
-            self._note(report.entry_id, notice)
+            self._apply_notice(report.entry_id, notice)
             touched[notice.upstream_id] = None
         return self._merge(touched)
 
     def check_digest(self, entry_id: str, digest: int) -> ResendInventory | None:
-        """Compare with the digest in a heartbeat; return what to send if they differ."""
+        """Compare with the digest in a heartbeat; return a resend request if they differ."""
         if self._digest_by_entry.get(entry_id, 0) == digest:
             return None
         return ResendInventory(entry_id)
 
     def remove_entry(self, entry_id: str) -> tuple[str, ...]:
-        """Forget an entry host that is no member any more; return the ids as ``apply`` does."""
-        touched = self._forget_notices(entry_id)
+        """Remove an entry host that is no longer a member; return the ids as ``apply`` does."""
+        touched = self._clear_notices(entry_id)
         self._notices_by_entry.pop(entry_id, None)
         self._digest_by_entry.pop(entry_id, None)
         return self._merge(touched)
 
-    def _forget_notices(self, entry_id: str) -> dict[str, None]:
+    def _clear_notices(self, entry_id: str) -> dict[str, None]:
         touched = dict.fromkeys(self._notices_by_entry.get(entry_id, ()))
         for upstream_id in touched:
             del self._entries_by_upstream[upstream_id][entry_id]
@@ -134,7 +134,7 @@
         self._digest_by_entry[entry_id] = 0
         return touched
 
-    def _note(self, entry_id: str, notice: UpstreamNotice) -> None:
+    def _apply_notice(self, entry_id: str, notice: UpstreamNotice) -> None:
         notices = self._notices_by_entry[entry_id]
         known = notices.get(notice.upstream_id)
         if known is not None and known.incarnation > notice.incarnation:
@@ -162,7 +162,7 @@
             self._entries_by_upstream.pop(upstream_id, None)
             self._upstream_by_id.pop(upstream_id, None)
             return before is not None
-        held = (self._notices_by_entry[entry_id][upstream_id] for entry_id in entries)
-        best = max(held, key=lambda notice: notice.incarnation)
+        notices = (self._notices_by_entry[entry_id][upstream_id] for entry_id in entries)
+        best = max(notices, key=lambda notice: notice.incarnation)
         self._upstream_by_id[upstream_id] = best
         return best != before
--- a/src/medlarfork/orders/lease_table.py
+++ b/src/medlarfork/orders/lease_table.py
@@ -1,7 +1,7 @@
-"""Keep the fenced leases of a replicated log: who holds each, and its fence number.
+"""Replicated table of fenced leases: the holder and the fencing token of each.
 
-The table reads no clock. A lease's time is measured only by its holder and by whoever waits it
-out, each on its own monotonic clock.
+The table reads no clock. A lease's duration is measured only by its holder and by processes that
+wait for it to expire, each on its own monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from medlarfork.orders import lease_types
 
 COMMANDS = codec.Codec((lease_types.TakeLease, lease_types.RenewLease, lease_types.ReleaseLease))
-"""Packs the commands of a lease table."""
+"""Codec for the commands of a lease table."""
 
 REPLIES = codec.Codec((lease_types.LeaseReply,))
-"""Packs the replies of a lease table."""
+"""Codec for the replies of a lease table."""
 
 MAX_LEASES = 1_000
-"""How many lease names the table holds; takes of further names are refused."""
+"""Maximum number of leases in the table; takes of further names are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Lease:
-    """Hold one lease's state; ``attempt`` is the holder's that took it."""
+    """State of one lease; ``attempt`` is that of the take that acquired it."""
 
     version: lease_types.LeaseVersion = lease_types.LeaseVersion()
     holder: str = ""
@@ -35,19 +35,19 @@
 
 
 class LeaseTable:
-    """Apply lease commands in log order; deterministic."""
+    """Leases by name, changed by commands in log order; deterministic."""
 
     name = "leases"
 
     def __init__(self) -> None:
-        """Start without leases."""
+        """Create an empty table."""
         self._lease_by_name: dict[str, _Lease] = {}
 
     def apply(self, command: bytes, now_ms: int) -> bytes:
-        """Apply a packed command; ``now_ms`` is not used, so that clock steps change nothing.
+        """Apply a packed command; ``now_ms`` is ignored, so that clock steps have no effect.
 
         Raises:
-            errors.LinkError: The bytes are no command of this version.
+            errors.LinkError: The bytes are not a known command.
         """
         return REPLIES.pack(self.apply_command(COMMANDS.unpack(command)))
 
@@ -63,19 +63,19 @@
         )
 
     def fence(self, name: str) -> int:
-        """Return the fence of the last holder of a lease; 0 if nobody ever held it."""
+        """Return the fence of the last holder of a lease; 0 if it was never held."""
         return self._lease_by_name.get(name, _Lease()).version.fence
 
     def holder(self, name: str) -> str:
-        """Return who holds a lease; empty if it was released or never taken."""
+        """Return the holder of a lease; empty if it was released or never taken."""
         return self._lease_by_name.get(name, _Lease()).holder
 
     def encode(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Return the encoded state for a snapshot."""
         return msgspec.msgpack.encode(self._lease_by_name, order="deterministic")
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by an encoded one; empty bytes mean the first state."""
+        """Replace the state by an encoded one; empty bytes stand for the initial state."""
         if not state:
             self._lease_by_name = {}
             return
--- a/src/medlarfork/orders/lease_types.py
+++ b/src/medlarfork/orders/lease_types.py
@@ -1,4 +1,4 @@
-"""Define the commands, replies, events and actions of fenced leases."""
+"""Commands, replies, events and actions of fenced leases."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseVersion:
-    """Identify one state of a lease in the log; every take, renewal and release changes it."""
+    """Version of a lease in the log; every take, renewal and release changes it."""
 
     fence: int = 0
     renewals: int = 0
@@ -16,14 +16,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeLease:
-    """Command: become the holder if the lease is still as the taker has seen it.
+    """Command: acquire the lease if its version is still the one that the taker has seen.
 
     Attributes:
-        name: The lease.
-        holder: Identity of the taker, different for each start of a process.
-        attempt: Grows with each proposal of the taker; the reply repeats it.
+        name: Name of the lease.
+        holder: Identity of the taker, unique for each start of a process.
+        attempt: Increases with each proposal of the taker; matches the reply to the proposal.
         duration_s: How long a take or renewal lasts, in seconds.
-        seen: The state that the taker has waited out.
+        seen: The version whose duration the taker has waited for.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RenewLease:
-    """Command: keep the lease of ``fence`` for another duration."""
+    """Command: extend the lease of ``fence`` by its duration."""
 
     name: str
     fence: int
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """Command: end the lease of ``fence``; its holder acts no more."""
+    """Command: release the lease of ``fence``; its holder has stopped acting."""
 
     name: str
     fence: int
@@ -55,13 +55,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """Answer a command with the lease as it is after it.
+    """Reply to a command: the state of the lease after it.
 
     Attributes:
-        accepted: Whether the command had its effect.
-        version: State after the command; ``version.fence`` is the taker's own if accepted.
-        holder: Who holds it; empty if it was released or never taken.
-        duration_s: Duration that the holder declared, in seconds.
+        accepted: Whether the command was applied.
+        version: Version after the command; if accepted, ``version.fence`` is the taker's fence.
+        holder: Current holder; empty if the lease was released or never taken.
+        duration_s: Duration that the holder requested, in seconds.
     """
 
     accepted: bool
@@ -72,22 +72,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadershipWon:
-    """Event: this process may propose from now on."""
+    """Event: this process leads the log and can propose commands."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadershipLost:
-    """Event: this process can't propose; a lease it holds ends at once."""
+    """Event: this process can no longer propose; a lease that it holds ends at once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stopping:
-    """Event: end the lease now, so that the next holder need not wait it out."""
+    """Event: release the lease now, so that the next holder need not wait for it to expire."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RaiseFence:
-    """Event: go on with a higher fence, so that what was sent with the last one comes too late."""
+    """Event: continue with a higher fence, so that calls still in flight are refused as stale."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -108,14 +108,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Propose:
-    """Action: append a command to the replicated log; it may be lost, late or repeated."""
+    """Action: append a command to the replicated log; may be lost, delayed or duplicated."""
 
     command: Any
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acquired:
-    """Action: this process holds the lease, and no older holder acts any more."""
+    """Action: this process holds the lease, and no earlier holder acts any more."""
 
     fence: int
 
--- a/src/medlarfork/orders/order_client.py
+++ b/src/medlarfork/orders/order_client.py
@@ -1,9 +1,9 @@
-"""Send orders to engines and read their state over HTTP, and turn the answers into events.
+"""HTTP client that sends orders to engines, reads their state, and returns events.
 
-Engines are told ``POST /v1/orders`` with ``order_id``, ``fence`` and ``action``. The actions
-``load_model`` and ``load_adapter`` carry ``name``, ``version``, ``size_bytes`` and
-``bytes_per_second``, the action ``change_role`` carries ``role``. They are read by
-``GET /v1/state``. ``order_protocol`` defines both and what the statuses mean.
+Orders are sent by ``POST /v1/orders`` with ``order_id``, ``fence`` and ``action``. The actions
+``load_model`` and ``load_adapter`` have ``name``, ``version``, ``size_bytes`` and
+``bytes_per_second``, the action ``change_role`` has ``role``. States are read by
+``GET /v1/state``. ``order_protocol`` defines both and the meaning of the statuses.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class OrderClient:
-    """Perform the order planner's actions that concern engines; sends each order once.
+    """Performs the order planner's actions on engines; sends each order once.
 
-    Neither method raises for what an engine or the network does: the event says it.
+    No method raises for failures of an engine or the network: the returned event reports them.
     """
 
     def __init__(
@@ -35,14 +35,14 @@
         read_timeout_s: float = 5.0,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Use a started client, the planner's lease and the clock it is measured by."""
+        """Use a started HTTP client, the planner's lease and the clock of that lease."""
         self._client = client
         self._lease = lease
         self._read_timeout_s = read_timeout_s
         self._clock = clock
 
     async def order(self, action: order_types.OrderEngine) -> order_types.OrderDone:
-        """Send an order, unless its holding has ended since, and return how it ended."""
+        """Send an order, unless its lease has ended meanwhile, and return the result."""
         body = order_protocol.encode(action)
         if not self._may_send(action):
             return order_types.OrderDone(action.order_id, order_types.OrderResult.FAILED)
@@ -63,13 +63,13 @@
         return order_types.OrderDone(action.order_id, _result(response.status))
 
     def _may_send(self, action: order_types.OrderEngine) -> bool:
-        # The task may have been delayed: the lease may have run out or been given up since.
+        # The task may have been delayed: the lease may have expired or been released meanwhile.
         now = self._clock()
         held = self._lease.may_act(now) and self._lease.fence == action.fence
         return held and now < action.not_after
 
     async def read_state(self, action: order_types.ReadEngineState) -> order_types.EngineStateRead:
-        """Read an engine's state; the event carries None if it gave none."""
+        """Read an engine's state; the event's state is None if there was no valid answer."""
         try:
             response = await self._client.request(
                 action.address,
--- a/src/medlarfork/orders/order_planner.py
+++ b/src/medlarfork/orders/order_planner.py
@@ -1,13 +1,13 @@
-"""Bring engines to their desired state by orders, one at a time for each engine.
+"""Order planner: reconciles engines with their declarations, one order at a time per engine.
 
-The planner runs where the fenced lease is held. It reads an engine's state back before its first
-order and after each order, records an order on the board before it is sent, and never sends one
-twice: an order without a known result is closed only when the engine's state shows its effect, or
-when it can't be carried out any more. Then it is ordered anew if its effect is still missing.
+The planner runs in the process that holds the fenced lease. It reads an engine's state before the
+first order and after each order, records each order on the board before sending it, and sends it
+at most once: an order of unknown result is closed only when the engine's state shows its effect,
+or when it can't be executed any more. If its effect is still missing then, a new order follows.
 
-Engines that don't check fences get nothing from a new holder until every order of an older one
-must have ended. Loads wait for the weight store, changes of role for their declaration's share of
-engines that may be out of service.
+Engines that don't check fences get no order from a new holder until every order of an earlier one
+must have ended. Loads are queued for the rate-limited weight store; role changes are limited by
+the declaration's ``max_unavailable``.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class OrderPlanner:
-    """Plan orders while the lease is held; pure, see ``node.Node``.
+    """Plans orders while the lease is held.
 
-    Besides its own events it takes ``node.TimeDue`` and, as events, the lease's
-    ``lease_types.Acquired`` and ``lease_types.Lost``. After the action ``Deposed`` the caller
-    gives the lease up.
+    Pure: no I/O, no clock (see ``node.Node``). Besides its own events it handles ``node.TimeDue``
+    and the lease's actions ``lease_types.Acquired`` and ``lease_types.Lost``. After the action
+    ``Deposed`` the caller must release the lease.
     """
 
     def __init__(
@@ -43,20 +43,20 @@
         board: orders.OrderBoard,
         upstreams: inventory.Inventory,
     ) -> None:
-        """Read the lease, the board and the inventory, which others change between events."""
+        """Use a lease, a board and an inventory, which the caller updates between events."""
         self._settings = settings
         self._lease = lease
         self._board = board
         self._upstreams = upstreams
         self._session: _order_session.OrderSession | None = None
         self._started = False
-        self._begin_again_at = math.inf
+        self._retry_begin_at = math.inf
 
     def handle(self, event: Any, now: float) -> tuple[Any, ...]:
         """Handle an event at a monotonic time in seconds and return the actions, in order."""
         match event:
             case lease_types.Acquired(fence):
-                return self._begin(fence, now)
+                return self._start_session(fence, now)
             case lease_types.Lost():
                 self._session = None
         session = self._session
@@ -65,14 +65,14 @@
         if isinstance(event, order_types.BoardCommitted):
             self._on_committed(session, event, now)
         elif self._started:
-            _pass_on(session, event, now)
-        return self._end_event(session, now)
+            _dispatch(session, event, now)
+        return self._advance(session, now)
 
     def waiting(self, now: float) -> tuple[order_types.Waiting, ...]:
-        """Return which engines wait for what; nothing unless the lease is held."""
+        """Return the engines whose next order is delayed; empty unless the lease is held."""
         return () if self._session is None else self._session.waiting(now)
 
-    def _begin(self, fence: int, now: float) -> tuple[Any, ...]:
+    def _start_session(self, fence: int, now: float) -> tuple[Any, ...]:
         self._started = False
         self._session = _order_session.OrderSession(
             fence,
@@ -82,13 +82,13 @@
             upstreams=self._upstreams,
             now=now,
         )
-        return self._propose_begin(fence, now)
+        return self._propose_begin_holding(fence, now)
 
-    def _propose_begin(self, fence: int, now: float) -> tuple[Any, ...]:
-        self._begin_again_at = now + self._settings.retry_s
+    def _propose_begin_holding(self, fence: int, now: float) -> tuple[Any, ...]:
+        self._retry_begin_at = now + self._settings.retry_s
         return (
             order_types.ProposeCommand(order_types.BeginHolding(fence)),
-            node.Wake(self._begin_again_at),
+            node.Wake(self._retry_begin_at),
         )
 
     def _on_committed(
@@ -101,7 +101,7 @@
         match command:
             case order_types.Declare() | order_types.Withdraw():
                 if verdict is order_types.Verdict.ACCEPTED:
-                    session.on_declarations()
+                    session.on_declarations_changed()
                 return
         if _fence_of(command) != session.fence:
             return
@@ -113,31 +113,35 @@
                 self._started = True
                 session.start(now)
             case order_types.RecordOrder(order):
-                session.on_recorded(order, verdict, now)
+                session.on_order_recorded(order, verdict, now)
             case order_types.RecordResult():
-                session.on_resolved(command, now)
+                session.on_result_recorded(command, now)
             case order_types.SetInService():
-                session.on_marked(command, verdict, now)
+                session.on_service_changed(command, verdict, now)
 
-    def _end_event(self, session: _order_session.OrderSession, now: float) -> tuple[Any, ...]:
-        """Advance what is due, and end the session if a newer holder was seen."""
+    def _advance(self, session: _order_session.OrderSession, now: float) -> tuple[Any, ...]:
+        """Run what is due, or end the session if a newer holder was seen."""
         if session.deposed:
             self._session = None
             return (order_types.Deposed(session.fence),)
         if not self._started:
-            return self._propose_begin(session.fence, now) if now >= self._begin_again_at else ()
+            return (
+                self._propose_begin_holding(session.fence, now)
+                if now >= self._retry_begin_at
+                else ()
+            )
         session.advance(now)
         wake_at = session.next_wake(now)
         wake = () if wake_at == math.inf else (node.Wake(wake_at),)
         return (*session.take_actions(), *wake)
 
 
-def _pass_on(session: _order_session.OrderSession, event: Any, now: float) -> None:
+def _dispatch(session: _order_session.OrderSession, event: Any, now: float) -> None:
     match event:
         case order_types.InventoryChanged(upstream_id):
-            session.on_inventory(upstream_id, now)
+            session.on_inventory_changed(upstream_id, now)
         case order_types.EngineStateRead():
-            session.on_read(event, now)
+            session.on_state_read(event, now)
         case order_types.OrderDone():
             session.on_order_done(event, now)
         case order_types.Drained(upstream_id):
--- a/src/medlarfork/orders/order_protocol.py
+++ b/src/medlarfork/orders/order_protocol.py
@@ -1,16 +1,16 @@
-"""Define what engines are told over HTTP, and what they answer.
+"""HTTP protocol between the order client and engines.
 
 ``POST /v1/orders`` carries one ``LoadModel``, ``LoadAdapter`` or ``ChangeRole`` as JSON; the field
-``action`` says which. The answer comes once the order has been carried out:
+``action`` is the discriminator. The engine answers after executing the order:
 
 ====  =====================================================================================
-2xx   it was carried out, now or at an earlier receipt of the same ``order_id``
-409   the engine has seen a higher fence; nothing was done (only engines that check fences)
-4xx   the order is malformed or can't be carried out; nothing was done
+2xx   it was executed, now or on an earlier request with the same ``order_id``
+409   the engine has seen a higher fence; not executed (only engines that check fences)
+4xx   the order is malformed or can't be executed; not executed
 ====  =====================================================================================
 
-Anything else, or no answer, leaves the outcome open. ``GET /v1/state`` answers with an
-``order_types.EngineState`` as JSON; further fields in it are ignored.
+Any other status, or no answer, means that the result is unknown. ``GET /v1/state`` returns an
+``order_types.EngineState`` as JSON; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from medlarfork.orders import order_types
 
 ORDERS_TARGET = "/v1/orders"
-"""Where engines take orders."""
+"""Path at which engines accept orders."""
 
 STATE_TARGET = "/v1/state"
-"""Where engines tell their state."""
+"""Path at which engines report their state."""
 
 _Text = Annotated[str, msgspec.Meta(min_length=1)]
 _Count = Annotated[int, msgspec.Meta(ge=0)]
@@ -42,12 +42,12 @@
 
     @property
     def loaded(self) -> order_types.LoadedWeights:
-        """Return what the engine holds once this has been carried out."""
+        """Return the weights that the engine holds after this order."""
         return order_types.LoadedWeights(self.name, self.version)
 
     @property
     def draw_s(self) -> float:
-        """Return how long the weights take to draw at the told rate, in seconds."""
+        """Return how long the transfer takes at the ordered rate, in seconds."""
         return self.size_bytes / self.bytes_per_second
 
 
@@ -66,7 +66,7 @@
     tag_field="action",
     tag="change_role",
 ):
-    """Take a role."""
+    """Change the engine's role."""
 
     order_id: _Text
     fence: _Count
@@ -77,15 +77,15 @@
 
 
 def encode(order: order_types.OrderEngine) -> bytes:
-    """Return the body that tells an engine an order."""
+    """Return the request body for an order."""
     return msgspec.json.encode(_engine_order(order))
 
 
 def decode(body: bytes) -> EngineOrder:
-    """Return the order that a body tells.
+    """Return the order in a request body.
 
     Raises:
-        msgspec.MsgspecError: The body is none, or holds a field that is not known.
+        msgspec.MsgspecError: The body is not a valid order, or has an unknown field.
     """
     return msgspec.json.decode(body, type=EngineOrder)
 
