--- a/src/medlarfork/orders/order_types.py
+++ b/src/medlarfork/orders/order_types.py
@@ -1,4 +1,4 @@
-"""Define desired state, orders, and the commands, events and actions around them."""
+"""Desired state, orders, and the commands, events and actions of the order planner."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class WeightsKind(enum.StrEnum):
-    """Tell whole models from adapters."""
+    """Kinds of weights: complete models and adapters."""
 
     MODEL = "model"
     ADAPTER = "adapter"
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Weights:
-    """Name one version of a model or adapter; ``size_bytes`` is what a load draws."""
+    """One version of a model or adapter; ``size_bytes`` is what a load transfers."""
 
     name: str
     version: str
@@ -25,17 +25,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DesiredState:
-    """Declare what some engines should hold and be.
+    """A declaration of the weights and role that the matching engines should have.
 
     Attributes:
         name: Unique name of the declaration.
         selector: Text of the selector over the labels that engines announce.
-        upstream_ids: Engines named one by one; if any, the selector is not used.
-        precedence: Among declarations that match one engine, the highest precedence wins.
-        weights: Models and adapters to have loaded, in these versions; others stay as they are.
-        role: Role to take; empty to leave it.
-        max_unavailable: Share of the matching engines that may be out of service at once for a
-            change of role, 0 to 1; always at least one engine.
+        upstream_ids: Explicit list of engine ids; if not empty, the selector is ignored.
+        precedence: If several declarations match an engine, the highest precedence applies.
+        weights: Models and adapters to load, in these versions; others that are loaded stay.
+        role: Role to take; empty to keep the current one.
+        max_unavailable: Fraction of the matching engines that may be out of service at once for a
+            role change, 0 to 1; at least one engine is always allowed.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadWeights:
-    """Tell an engine to load weights, replacing another version of the same name."""
+    """Load weights, replacing another version of the same name."""
 
     weights: Weights
     bytes_per_second: float
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRole:
-    """Tell an engine to take a role."""
+    """Change an engine's role."""
 
     role: str
 
@@ -66,12 +66,12 @@
 
 
 class OrderResult(enum.StrEnum):
-    """Say how an order ended.
+    """Result of an order.
 
-    DONE: the engine carried it out.
-    REFUSED_FENCE: the engine has seen a newer holder; it was not carried out.
-    FAILED: the engine refused it; it was not carried out.
-    UNKNOWN: no answer; it may have been, or may still be, carried out.
+    DONE: the engine executed it.
+    REFUSED_FENCE: the engine has seen a higher fence; it was not executed.
+    FAILED: the engine refused it; it was not executed.
+    UNKNOWN: no answer; it may have been executed, or may still be.
     """
 
     DONE = "done"
@@ -82,9 +82,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """Record one order; ``fence`` and ``number`` together are its identity.
+    """One order to an engine, identified by ``fence`` and ``number``.
 
-    Exactly one of ``load`` and ``change_role`` is set: the codec decodes no unions of classes.
+    Exactly one of ``load`` and ``change_role`` is set, because the codec can't decode unions of
+    classes.
     """
 
     fence: int
@@ -95,19 +96,19 @@
 
     @classmethod
     def of(cls, fence: int, number: int, upstream_id: str, action: OrderAction) -> Order:
-        """Return the order of an action."""
+        """Return an order for an action."""
         if isinstance(action, LoadWeights):
             return cls(fence, number, upstream_id, load=action)
         return cls(fence, number, upstream_id, change_role=action)
 
     @property
     def order_id(self) -> str:
-        """Return the identity as engines get it."""
+        """Return the id that is sent to engines."""
         return f"{self.fence}-{self.number}"
 
     @property
     def action(self) -> OrderAction:
-        """Return what the engine is told to do."""
+        """Return the action that is ordered."""
         action = self.load or self.change_role
         assert action is not None
         return action
@@ -115,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinishedOrder:
-    """Keep an order that ended, with the log time of its end in Unix milliseconds."""
+    """A finished order; ``ended_at_ms`` is a log time in Unix milliseconds."""
 
     order: Order
     result: OrderResult
@@ -124,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declared:
-    """Keep a declaration with the change that made it, at a log time in Unix milliseconds."""
+    """A declaration with the change that made it; log time in Unix milliseconds."""
 
     desired: DesiredState
     revision: int
@@ -143,10 +144,10 @@
 
     Attributes:
         desired: The declaration.
-        change_id: Made by the operator's program, one for each change; its answer is repeated.
-            Empty if the answer need not be remembered.
-        base_revision: The board's revision that the operator saw; 0 for an empty board.
-        operator: Who declares it.
+        change_id: Idempotency key that the operator's client creates for each change; a repeated
+            command gets the first answer. Empty if the answer need not be remembered.
+        base_revision: Board revision that the change is based on; 0 for an empty board.
+        operator: Name of the operator.
     """
 
     desired: DesiredState
@@ -157,28 +158,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Command: remove a declaration; engines stay as they are."""
+    """Command: remove a declaration; engines keep their weights and role."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BeginHolding:
-    """Command: refuse whatever older holders still propose."""
+    """Command: a new holder starts; later commands with a lower fence are refused."""
 
     fence: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordOrder:
-    """Command: note an order before it is sent."""
+    """Command: record an order before it is sent."""
 
     order: Order
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordResult:
-    """Command: note how an order ended; ``fence`` is that of the holder that found out."""
+    """Command: record an order's result; ``fence`` is that of the reporting holder."""
 
     fence: int
     upstream_id: str
@@ -188,9 +189,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SetInService:
-    """Command: take an engine out of service before a change of role, or put it back.
+    """Command: take an engine out of service before a role change, or return it to service.
 
-    Numbers of one fence must grow, so that a late copy of an older command has no effect.
+    Numbers must increase within one fence, so that a delayed duplicate has no effect.
     """
 
     fence: int
@@ -203,15 +204,15 @@
 
 
 class Verdict(enum.StrEnum):
-    """Say what became of a command.
+    """Outcome of a command.
 
-    ACCEPTED: it is in force.
-    STALE_FENCE: a newer holder has begun.
+    ACCEPTED: it was applied.
+    STALE_FENCE: a holder with a higher fence has started.
     CONFLICT: the engine has another order in progress, or the order's number was used before; or
-        the declaration was changed after the operator saw it.
-    KEY_REUSED: the change id was used for another change.
-    FULL: the board holds as much as it may.
-    INVALID: the declaration's selector does not parse, or the command is not known.
+        the declaration was changed after the base revision.
+    KEY_REUSED: the change id was used for a different change.
+    FULL: a size limit of the board was reached.
+    INVALID: the declaration is invalid, or the command is unknown.
     """
 
     ACCEPTED = "accepted"
@@ -224,12 +225,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BoardReply:
-    """Answer a command of the order board.
+    """Reply to a command of the order board.
 
     Attributes:
-        verdict: What became of it.
-        revision: For declarations: the board's revision after the command.
-        winner: For a conflict of declarations: the one that is in force instead.
+        verdict: Outcome of the command.
+        revision: For declarations: the board revision after the command.
+        winner: For a conflict of declarations: the one that is in force.
     """
 
     verdict: Verdict
@@ -242,7 +243,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadedWeights:
-    """Say which version of a model or adapter an engine holds."""
+    """A version of a model or adapter that an engine has loaded."""
 
     name: str
     version: str
@@ -250,14 +251,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """Hold what an engine answers when it is read back.
+    """State that an engine reports on request.
 
     Attributes:
-        incarnation: Grows with each start of the engine.
-        weights: What it holds now.
-        role: The role it has now.
-        executing: Id of the order it carries out now; empty if none.
-        order_ids: The last orders it took in this incarnation, if it remembers them.
+        incarnation: Increases with each start of the engine.
+        weights: Loaded weights.
+        role: Current role.
+        executing: Id of the order in execution; empty if none.
+        order_ids: Ids of the last orders accepted in this incarnation, if the engine keeps them.
     """
 
     incarnation: int
@@ -269,7 +270,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderDone:
-    """Event: a sent order was answered, or not in time."""
+    """Event: a sent order was answered or timed out."""
 
     order_id: str
     result: OrderResult
@@ -277,7 +278,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStateRead:
-    """Event: an engine's state was read; None if it did not answer."""
+    """Event: an engine's state was read; ``state`` is None if there was no valid answer."""
 
     upstream_id: str
     number: int
@@ -294,21 +295,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InventoryChanged:
-    """Event: an engine appeared, changed or went."""
+    """Event: an engine was added, changed or removed."""
 
     upstream_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drained:
-    """Event: an engine that is out of service runs no request any more."""
+    """Event: an engine that is out of service has no running requests left."""
 
     upstream_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting:
-    """Say what an engine waits for before its next order; ``weights`` if that is a load."""
+    """Why an engine's next order is delayed; ``weights`` is set if that order is a load."""
 
     upstream_id: str
     reason: str
@@ -317,11 +318,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderEngine:
-    """Action: send an order once; never send it again, nor after ``not_after``.
+    """Action: send an order at most once, and not after ``not_after``.
 
     Attributes:
-        not_after: Monotonic time after which it must not be sent any more, in seconds.
-        timeout_s: How long to wait for the answer, in seconds.
+        not_after: Monotonic time from which it must not be sent, in seconds.
+        timeout_s: Timeout for the answer, in seconds.
     """
 
     upstream_id: str
@@ -335,7 +336,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadEngineState:
-    """Action: read an engine's state; the event repeats ``number``."""
+    """Action: read an engine's state; ``EngineStateRead`` repeats ``number``."""
 
     upstream_id: str
     address: str
@@ -344,13 +345,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProposeCommand:
-    """Action: append a board command to the replicated log; it may be lost, late or repeated."""
+    """Action: append a board command to the replicated log; may be lost, delayed or duplicated."""
 
     command: BoardCommand
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deposed:
-    """Action: an engine or the board has seen a newer holder; give the lease up."""
+    """Action: an engine or the board has seen a newer holder; release the lease."""
 
     fence: int
--- a/src/medlarfork/orders/orders.py
+++ b/src/medlarfork/orders/orders.py
@@ -1,7 +1,7 @@
-"""Keep desired states and the history of orders, as a part of the replicated state.
+"""Order board: replicated state of declarations, orders in progress and finished orders.
 
-An order is on the board before it is sent and stays in progress until its result is known, so a
-new holder of the lease finds every order that an older one may have sent.
+An order is recorded before it is sent and stays in progress until its result is known, so a new
+holder of the lease finds every order that an earlier one may have sent.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
         order_types.SetInService,
     )
 )
-"""Packs the commands of an order board."""
+"""Codec for the commands of an order board."""
 
 REPLIES = codec.Codec((order_types.BoardReply,))
-"""Packs the replies of an order board."""
+"""Codec for the replies of an order board."""
 
 MAX_IN_PROGRESS = 20_000
-"""How many orders may be in progress; further ones are refused."""
+"""Maximum number of orders in progress; further ones are refused."""
 
 MAX_HISTORY = 1_000
-"""How many finished orders the board remembers."""
+"""Maximum number of finished orders that are kept."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _BoardState:
-    """Hold the whole board for a snapshot."""
+    """Complete state for a snapshot."""
 
     fence: int
     last_number: int
@@ -52,7 +52,7 @@
 
 
 class OrderBoard:
-    """Apply order commands in log order; deterministic."""
+    """Declarations and orders, changed by commands in log order; deterministic."""
 
     name = "orders"
 
@@ -62,17 +62,17 @@
 
     @property
     def fence(self) -> int:
-        """Return the highest fence that has begun."""
+        """Return the highest fence of a ``BeginHolding`` command."""
         return self._fence
 
     @property
     def desired_by_name(self) -> dict[str, order_types.DesiredState]:
         """Return the declarations, keyed by name."""
-        return {name: held.desired for name, held in self.declared_by_name.items()}
+        return {name: declared.desired for name, declared in self.declared_by_name.items()}
 
     @property
     def declared_by_name(self) -> dict[str, order_types.Declared]:
-        """Return the declarations with the changes that made them, keyed by name."""
+        """Return the declarations with the changes that created them, keyed by name."""
         return self._declarations.declared_by_name
 
     @property
@@ -82,25 +82,25 @@
 
     @property
     def out_of_service_version(self) -> int:
-        """Return what grows with each change of ``out_of_service``."""
-        return self._out_version
+        """Return the version of ``out_of_service``, which increases with each change."""
+        return self._out_of_service_version
 
     @property
     def order_by_upstream(self) -> dict[str, order_types.Order]:
-        """Return the orders in progress, keyed by the engine's id."""
+        """Return the orders in progress, keyed by engine id."""
         return self._order_by_upstream
 
     @property
     def out_of_service(self) -> frozenset[str]:
-        """Return the ids of engines that get no requests because their role changes."""
+        """Return the ids of engines that get no requests during a role change."""
         return frozenset(self._out_of_service)
 
     @property
     def history(self) -> tuple[order_types.FinishedOrder, ...]:
-        """Return the last finished orders, oldest first."""
+        """Return the latest finished orders, oldest first."""
         return tuple(self._history)
 
-    def is_out(self, upstream_id: str) -> bool:
+    def is_out_of_service(self, upstream_id: str) -> bool:
         """Return whether an engine is out of service."""
         return upstream_id in self._out_of_service
 
@@ -108,7 +108,7 @@
         """Apply a packed command at a log time in Unix milliseconds and return the reply.
 
         Raises:
-            errors.LinkError: The bytes are no command of this version.
+            errors.LinkError: The bytes are not a known command.
         """
         return REPLIES.pack(self.apply_command(COMMANDS.unpack(command), now_ms))
 
@@ -123,42 +123,42 @@
                 return order_types.BoardReply(self._decide(command, now_ms))
 
     def encode(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Return the encoded state for a snapshot."""
         state = _BoardState(
             self._fence,
             self._last_number,
-            self._last_mark,
+            self._last_service_change,
             self._declarations.state(),
             tuple(self._order_by_upstream.values()),
             tuple(self._out_of_service),
-            self._out_version,
+            self._out_of_service_version,
             tuple(self._history),
         )
         return msgspec.msgpack.encode(state)
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by an encoded one; empty bytes mean the first state."""
+        """Replace the state by an encoded one; empty bytes stand for the initial state."""
         self._clear()
         if not state:
             return
-        held = msgspec.msgpack.decode(state, type=_BoardState)
-        self._fence = held.fence
-        self._last_number = held.last_number
-        self._last_mark = held.last_mark
-        self._declarations = _declarations.Declarations(held.declarations)
-        self._order_by_upstream = {order.upstream_id: order for order in held.in_progress}
-        self._out_of_service = dict.fromkeys(held.out_of_service)
-        self._out_version = held.out_of_service_version
-        self._history.extend(held.history)
+        decoded = msgspec.msgpack.decode(state, type=_BoardState)
+        self._fence = decoded.fence
+        self._last_number = decoded.last_number
+        self._last_service_change = decoded.last_mark
+        self._declarations = _declarations.Declarations(decoded.declarations)
+        self._order_by_upstream = {order.upstream_id: order for order in decoded.in_progress}
+        self._out_of_service = dict.fromkeys(decoded.out_of_service)
+        self._out_of_service_version = decoded.out_of_service_version
+        self._history.extend(decoded.history)
 
     def _clear(self) -> None:
         self._fence = 0
         self._last_number = 0
-        self._last_mark = 0
+        self._last_service_change = 0
         self._declarations = _declarations.Declarations()
         self._order_by_upstream: dict[str, order_types.Order] = {}
         self._out_of_service: dict[str, None] = {}
-        self._out_version = 0
+        self._out_of_service_version = 0
         self._history: collections.deque[order_types.FinishedOrder] = collections.deque(
             maxlen=MAX_HISTORY
         )
@@ -166,7 +166,7 @@
     def _decide(self, command: Any, now_ms: int) -> order_types.Verdict:
         match command:
             case order_types.BeginHolding(fence):
-                return self._begin(fence)
+                return self._begin_holding(fence)
             case order_types.RecordOrder(order):
                 return self._record_order(order)
             case order_types.RecordResult():
@@ -176,13 +176,13 @@
             case _:
                 return order_types.Verdict.INVALID
 
-    def _begin(self, fence: int) -> order_types.Verdict:
+    def _begin_holding(self, fence: int) -> order_types.Verdict:
         if fence < self._fence:
             return order_types.Verdict.STALE_FENCE
         if fence > self._fence:
             self._fence = fence
             self._last_number = 0
-            self._last_mark = 0
+            self._last_service_change = 0
         return order_types.Verdict.ACCEPTED
 
     def _record_order(self, order: order_types.Order) -> order_types.Verdict:
@@ -211,14 +211,14 @@
     def _set_in_service(self, command: order_types.SetInService) -> order_types.Verdict:
         if command.fence != self._fence:
             return order_types.Verdict.STALE_FENCE
-        if command.number <= self._last_mark:
+        if command.number <= self._last_service_change:
             return order_types.Verdict.CONFLICT
-        self._last_mark = command.number
+        self._last_service_change = command.number
         if command.in_service:
             self._out_of_service.pop(command.upstream_id, None)
         elif len(self._out_of_service) >= MAX_IN_PROGRESS:
             return order_types.Verdict.FULL
         else:
             self._out_of_service[command.upstream_id] = None
-        self._out_version += 1
+        self._out_of_service_version += 1
         return order_types.Verdict.ACCEPTED
--- a/src/medlarfork/placement/__init__.py
+++ b/src/medlarfork/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions of a service's owner: which upstream runs a request, when, or not at all."""
+"""Placement of requests by a shard's owner: which upstream runs each, when, or not at all."""
--- a/src/medlarfork/placement/local_choice.py
+++ b/src/medlarfork/placement/local_choice.py
@@ -1,7 +1,7 @@
-"""Choose an upstream from what one entry host knows alone, while the owner can't be asked.
+"""Choose an upstream from local knowledge alone, while the placement owner can't be reached.
 
-It counts only this host's own runs. Prompts with the same shared part go to the same upstream while
-that is about as free as any other.
+Only this entry host's own runs count. Prompts with the same affinity key go to the same upstream as
+long as it is about as free as any other.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from medlarfork.placement import placement_messages, shard_choice
 
 RETRY_MS = 300.0
-"""When to come back if no upstream is known, in milliseconds: a replica tells its view within."""
+"""Retry delay if no upstream is known, in milliseconds: a replica publishes its view within it."""
 
 STANDALONE_SHARE = 0.5
-"""Part of an upstream's rate limit that all entry hosts which place alone use together: the owner
-that others still reach uses the whole."""
+"""Fraction of an upstream's rate limit that all entry hosts without an owner may use together.
+An owner that others still reach uses the full limit."""
 
 MAX_EXTRA_RUNS = 2
-"""Own runs by which the preferred upstream may exceed the least busy one."""
+"""How many more own runs the preferred upstream may have than the least busy one."""
 
 
 def choose(
@@ -30,22 +30,24 @@
     runs_by_upstream: dict[str, int],
     salt: str,
 ) -> str:
-    """Return an incarnation, or an empty text if none may be used.
+    """Return an incarnation; empty if none may be used.
 
     Args:
-        request: What is to run.
-        upstreams: Those of its service that may take requests.
+        request: The placement request.
+        upstreams: Upstreams of its service that accept requests.
         runs_by_upstream: This host's own runs.
         salt: Breaks ties differently on each entry host.
     """
     usable = [item for item in upstreams if item.upstream_id not in request.excluded]
     if not usable:
         return ""
-    least = min(runs_by_upstream.get(item.upstream_id, 0) for item in usable)
+    min_runs = min(runs_by_upstream.get(item.upstream_id, 0) for item in usable)
     key = shard_choice.affinity_key(request.parts) or salt + request.ticket_id
-    slack = MAX_EXTRA_RUNS if request.parts else 0
-    near = [item for item in usable if runs_by_upstream.get(item.upstream_id, 0) <= least + slack]
-    return rendezvous.rank(key, [item.upstream_id for item in near])[0]
+    max_extra = MAX_EXTRA_RUNS if request.parts else 0
+    candidates = [
+        item for item in usable if runs_by_upstream.get(item.upstream_id, 0) <= min_runs + max_extra
+    ]
+    return rendezvous.rank(key, [item.upstream_id for item in candidates])[0]
 
 
 def place(
@@ -58,15 +60,15 @@
     entry_hosts: int,
     now: float,
 ) -> placement_messages.Placed | placement_messages.PlaceRefused:
-    """Place a request on an upstream that takes it now, or say when the first one does.
+    """Place a request on an upstream that accepts it now, or refuse it with the time when one will.
 
     Args:
-        request: What is to run.
-        upstreams: Those of its service that may take requests.
+        request: The placement request.
+        upstreams: Upstreams of its service that accept requests.
         runs_by_upstream: This host's own runs.
-        gate: Says when an upstream may get a request.
-        entry_id: This host.
-        entry_hosts: How many hosts share the rate limits of upstreams.
+        gate: Paces requests to upstreams.
+        entry_id: This entry host.
+        entry_hosts: Number of entry hosts that share the upstreams' rate limits.
         now: The time in seconds.
     """
     share = STANDALONE_SHARE / entry_hosts
@@ -79,6 +81,6 @@
         return placement_messages.Placed(request.ticket_id, chosen)
     why = "no upstream of the service is known"
     if upstreams:
-        why = "every upstream is at its limit, wants a pause, or failed this request"
+        why = "every upstream is rate-limited, in backoff, or has failed this request"
     retry_ms = max(RETRY_MS, 1000.0 * min(waits_s, default=0.0))
     return placement_messages.PlaceRefused(request.ticket_id, retry_ms, why)
--- a/src/medlarfork/placement/owner.py
+++ b/src/medlarfork/placement/owner.py
@@ -1,4 +1,4 @@
-"""Own the placement of the shards for which entry hosts ask this replica."""
+"""Route the messages of entry hosts to the owners of the shards that this replica places for."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 from medlarfork.routes import routing
 
 IDLE_SHARD_S = 30.0
-"""Time without a question after which a shard's owner is dropped, in seconds: longer than any
+"""Time without a message after which a shard's owner is removed, in seconds: longer than any
 request takes, so that nothing runs there any more."""
 
 
 _TERMINAL_ANSWERS = (placement_messages.PlaceRefused, placement_messages.Busy)
-"""Answers after which nothing is kept of a question."""
+"""Answers after which no state of the request is kept."""
 
 
 class PlacementOwner:
-    """Give each question to its shard's owner; pure."""
+    """Keep one owner per shard and pass each message to it. Pure: no I/O, no clock."""
 
     def __init__(self, gate: send_gate.SendGate | None = None) -> None:
         """Start without services and upstreams.
 
         Args:
-            gate: Says which upstreams may get a request; None where none asks for anything.
+            gate: Paces requests to upstreams; None if no upstream sends backpressure signals.
         """
         self._gate = gate
         self._shares = limit_share.LimitShare()
         self._owner_by_shard: dict[placement_messages.Shard, shard_owner.ShardOwner] = {}
-        self._asked_at_by_shard: dict[placement_messages.Shard, float] = {}
+        self._last_message_at_by_shard: dict[placement_messages.Shard, float] = {}
         self._count_by_shard: dict[placement_messages.Shard, int] = {}
         self._engine_by_service: dict[str, routing.EngineFacts | None] = {}
         self._present_by_service: dict[str, dict[str, upstream_types.Announcement]] = {}
         self._shard_by_ticket: dict[str, placement_messages.Shard] = {}
-        self._decided: list[placement_decision.Decision] = []
+        self._decisions: list[placement_decision.Decision] = []
 
     def use_services(self, services: tuple[routing.Service, ...]) -> None:
-        """Take what a new version of the routing says of services."""
+        """Apply the services of a new routing version."""
         for service in services:
             self._engine_by_service[service.name] = service.engine
         for shard, owner in self._owner_by_shard.items():
@@ -56,7 +56,7 @@
     def use_upstreams(
         self, present: tuple[upstream_types.Announcement, ...], now: float
     ) -> tuple[node.Send, ...]:
-        """Take the view of the upstreams; those that wait may now be placed."""
+        """Apply a new view of the upstreams; return answers to queued requests that now start."""
         by_service: dict[str, dict[str, upstream_types.Announcement]] = collections.defaultdict(
             dict
         )
@@ -70,11 +70,11 @@
         return self._sends(answers)
 
     def use_entries(self, entry_ids: frozenset[str], max_entries: int) -> None:
-        """Take which entry hosts are there now, and the most of them in the last seconds."""
+        """Set the current entry hosts, and their highest number in the last seconds."""
         self._shares.use_entries(entry_ids, max_entries)
 
     def handle(self, entry_id: str, message: Any, now: float) -> tuple[node.Send, ...]:
-        """Take a message of an entry host and return the answers."""
+        """Handle a message of an entry host and return the answers."""
         match message:
             case placement_messages.PlaceRequest(ticket_id):
                 self._shard_by_ticket[ticket_id] = message.target_shard
@@ -88,11 +88,11 @@
                 owner = self._owner_of(self._shard_by_ticket.pop(ticket_id, None), now)
                 if owner is not None:
                     return self._sends(owner.on_ended(message, now))
-            case placement_messages.OwnerChosen(shard, is_chosen, belief):
+            case placement_messages.OwnerChosen(shard, is_chosen, estimate):
                 self._shares.record_choice(shard, entry_id, is_chosen=is_chosen, now=now)
                 owner = self._owner(shard, now)
-                if belief is not None:
-                    owner.estimator.adopt(belief)
+                if estimate is not None:
+                    owner.estimator.adopt(estimate)
                 return self._sends(owner.release_entry(entry_id, now))
             case placement_messages.StillRunning(request):
                 self._shard_by_ticket[request.ticket_id] = request.target_shard
@@ -102,24 +102,24 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait; while any does, ``on_time`` has to be called often."""
+        """Return the number of queued requests; while there are any, call ``on_time`` often."""
         return sum(owner.waiting for owner in self._owner_by_shard.values())
 
     def offered(self) -> tuple[placement_messages.ServiceLoad, ...]:
-        """Return the work that was offered to each service whose engines read prompts."""
-        read_ms: collections.Counter[str] = collections.Counter()
+        """Return the offered load of each service whose engines prefill prompts."""
+        prefill_ms: collections.Counter[str] = collections.Counter()
         requests: collections.Counter[str] = collections.Counter()
         for shard, owner in self._owner_by_shard.items():
             if self._engine_by_service.get(shard.service) is not None:
-                read_ms[shard.service] += owner.offered_prefill_ms
+                prefill_ms[shard.service] += owner.offered_prefill_ms
                 requests[shard.service] += owner.waiting + owner.running
         return tuple(
-            placement_messages.ServiceLoad(service, read_ms[service], requests[service])
-            for service in read_ms
+            placement_messages.ServiceLoad(service, prefill_ms[service], requests[service])
+            for service in prefill_ms
         )
 
     def on_time(self, now: float) -> tuple[node.Send, ...]:
-        """Place those that can start now, and refuse those whose time is over."""
+        """Start queued requests that can start now, and refuse those that have expired."""
         answers: list[placement_decision.Decision] = []
         for shard, owner in self._owner_by_shard.items():
             if owner.waiting:
@@ -128,14 +128,14 @@
         return self._sends(answers)
 
     def release_entry(self, entry_id: str, now: float) -> tuple[node.Send, ...]:
-        """Free what a lost entry host held."""
+        """Release the slots and queued requests of a lost entry host."""
         answers: list[placement_decision.Decision] = []
         for owner in self._owner_by_shard.values():
             answers += owner.release_entry(entry_id, now)
         return self._sends(answers)
 
     def tidy(self, now: float) -> int:
-        """Drop what nobody will report or ask for any more; return how many runs that ended."""
+        """Evict idle shards and overdue runs; return the number of overdue runs."""
         self._evict_idle_shards(now)
         overdue = [
             ticket_id
@@ -147,16 +147,16 @@
         return len(overdue)
 
     def _evict_idle_shards(self, now: float) -> None:
-        """Drop the owners of shards for which nobody has asked for long."""
+        """Remove the owners of shards that have had no message for long."""
         idle = {
             shard
-            for shard, asked_at in self._asked_at_by_shard.items()
-            if now - asked_at > IDLE_SHARD_S
+            for shard, last_message_at in self._last_message_at_by_shard.items()
+            if now - last_message_at > IDLE_SHARD_S
         }
         if not idle:
             return
         for shard in idle:
-            del self._asked_at_by_shard[shard]
+            del self._last_message_at_by_shard[shard]
             del self._owner_by_shard[shard]
             del self._count_by_shard[shard]
             self._shares.evict(shard)
@@ -167,29 +167,29 @@
         }
 
     def drain_decisions(self) -> tuple[placement_decision.Decision, ...]:
-        """Return what was decided since the last call, for the log."""
-        decided, self._decided = tuple(self._decided), []
-        return decided
+        """Return and clear the decisions since the last call, for the log."""
+        decisions, self._decisions = tuple(self._decisions), []
+        return decisions
 
     def _owner_of(
         self, shard: placement_messages.Shard | None, now: float
     ) -> shard_owner.ShardOwner | None:
-        """Return the owner of a shard that was asked before, for what is told of such a question.
+        """Return the owner of a shard that an earlier request named, for a report on that request.
 
-        The question named the number of shards that there was then, which tells nothing any more.
+        The shard count in the earlier request may be outdated, so it is ignored here.
         """
         if shard is None or shard not in self._owner_by_shard:
             return None
-        self._asked_at_by_shard[shard] = now
+        self._last_message_at_by_shard[shard] = now
         return self._owner_by_shard[shard]
 
     def _owner(self, shard: placement_messages.Shard, now: float) -> shard_owner.ShardOwner:
-        """Return a shard's owner, which takes the shard's upstreams by the number last told.
+        """Return a shard's owner, with the shard's upstreams by the latest shard count received.
 
-        Not by the upstreams that are present here: a replica that is cut off knows fewer, and would
-        look for those of a shard that there isn't.
+        The count does not come from the upstreams known here: a replica that is cut off knows
+        fewer, and would look for those of a shard that does not exist.
         """
-        self._asked_at_by_shard[shard] = now
+        self._last_message_at_by_shard[shard] = now
         owner = self._owner_by_shard.get(shard)
         if owner is None:
             owner = shard_owner.ShardOwner(self._gate)
@@ -214,7 +214,7 @@
 
     def _sends(self, answers: Iterable[placement_decision.Decision]) -> tuple[node.Send, ...]:
         answers = tuple(answers)
-        self._decided += answers
+        self._decisions += answers
         for answer in answers:
             if isinstance(answer.message, _TERMINAL_ANSWERS):
                 self._shard_by_ticket.pop(answer.message.ticket_id, None)
--- a/src/medlarfork/placement/placement_cost.py
+++ b/src/medlarfork/placement/placement_cost.py
@@ -1,13 +1,14 @@
-"""Compare the upstreams that could run a request: pure arithmetic.
+"""Compare the upstreams that could run a request by cost. Pure: arithmetic only.
 
-The unit of every cost is one request made late, so that unlike harms can be added up.
+The unit of all costs is one late request, so that different harms can be added up.
 
-The load that this answers: long prompts beside streams whose callers expect short pauses. While an
-engine reads a prompt, each of its steps takes as long as reading a chunk, so the pause between two
-events of a stream grows to the tokens of an event times that. Streams that this makes late are kept
-together on few engines, and long prompts away from these. Parts that an engine holds need no
-reading; reading one again that another engine holds is the dearest waste, so requests about the
-same matter stay together for as long as waiting there makes none of them late.
+It handles long prompts beside streams whose callers expect short inter-event gaps. While an engine
+prefills a prompt, each of its steps takes as long as one prefill chunk, so the gap between two
+events of a stream grows to the event's tokens times that. Streams that this would make late are
+gathered on few engines, and long prompts are kept away from these. Prompt segments that an engine
+holds need no prefill. Recomputing a prefix that another engine holds is the most expensive waste,
+so requests with the same affinity key stay together as long as waiting there makes none of them
+late.
 """
 
 from __future__ import annotations
@@ -17,75 +18,79 @@
 from medlarfork.placement import placement_messages, upstream_load
 
 RECOMPUTE_COST = 0.0002
-"""Cost of each token that is read again though another engine holds it, against 1 for a late
-request: reading takes an engine's time from all that wait."""
+"""Cost of each token that is prefilled although another engine holds it, against 1 for a late
+request: prefill takes engine time from all queued requests."""
 
 FETCH_COST = 0.00002
-"""Cost of each token that is fetched from another engine: far less than reading it again, but it
-keeps both links busy."""
+"""Cost of each token fetched from another engine: far less than recomputing it, but it occupies
+both links."""
 
 MIN_FETCH_TOKENS = 300
-"""Fewest tokens that are fetched: for less, asking another engine takes longer than reading."""
+"""Fewest tokens that are fetched; for less, asking another engine takes longer than prefill."""
 
 PREFILL_COST = 0.0005
-"""Cost of each millisecond of a request's own reading, which delays the ones after it: a long
-prompt's counts a tenth of a late request, so cached parts decide between engines that are equal."""
+"""Cost of each millisecond of a request's own prefill, which delays later requests. A long
+prompt costs a tenth of a late request, so prefix cache hits decide between otherwise equal
+engines."""
 
 TIGHT_GAP_SHARE = 0.9
-"""Share of a stream's allowed pause from which the longest pause beside reading makes it tight. The
-longest pause is reckoned from the learnt rate of reading, which already holds attention and
+"""A stream is tight if the longest gap during prefill reaches this share of its allowed gap. The
+longest gap comes from the estimated prefill rate, which already includes attention cost and
 slower engines."""
 
 SAFE_GAP_SHARE = 0.75
-"""Share of a stream's allowed pause that foreseen reading may fill unharmed: the rate is learnt to
-a tenth, and a prompt may be read with others that come meanwhile."""
+"""Share of a stream's allowed gap that predicted prefill may fill without harm: the rate is
+estimated to within a tenth, and prompts that arrive meanwhile may be prefilled together with
+this one."""
 
 LATE_GAP_SHARE = 0.95
-"""Share from which a stream counts as late. The way in between is short, so that prompts that make
-nobody late are not held."""
+"""Share of the allowed gap from which a stream counts as late. The range from ``SAFE_GAP_SHARE``
+is short, so that prompts that make no stream late are not held."""
 
 FIRST_TIGHT_STREAM_COST = 0.6
-"""Cost of bringing the first tight stream to an engine, which long prompts then have to avoid."""
+"""Cost of placing the first tight stream on an engine, which long prompts must then avoid."""
 
 TIGHT_STREAM_DISCOUNT = 0.03
-"""How much less that costs for each tight stream that runs there already. Tight streams so gather
-on the engines that have most of them, and when there are fewer, the others are left to long prompts
-again; spread over all engines, they kept long prompts from every one."""
+"""Reduction of that cost for each tight stream that already runs there. So tight streams gather
+on the engines with the most of them, and once there are fewer, the other engines are free for
+long prompts again; spread over all engines, tight streams kept long prompts from every one."""
 
 RUNNING_REQUEST_COST = 0.0002
-"""Cost of each request that runs there already: a step takes a little longer with each."""
+"""Cost of each request that already runs on the upstream: each one slows the engine's steps a
+little."""
 
 TRIAL_NEIGHBOUR_COST = 1.0
-"""The same for a request under which upstreams ended: each run beside it may be lost with it."""
+"""The same for a crash-inducing request on trial: each request beside it may be lost with it."""
 
 OTHER_DATA_CENTRE_COST = 0.002
-"""Cost of an upstream in another data centre: its links are slower and their bytes are paid for."""
+"""Cost of an upstream in another data centre: those links are slower and their traffic is
+billed."""
 
 FAILURE_COST = 1.0
-"""Cost of an upstream that fails all its runs; one that fails a part costs that part of it."""
+"""Cost of an upstream that fails all its runs; one that fails some of them costs that share."""
 
 LONG_PREFILL_MS = 50.0
-"""Reading that delays streams noticeably, in milliseconds: more than a chunk and a half."""
+"""Prefill time that delays streams noticeably, in milliseconds: more than one and a half chunks."""
 
 DEFAULT_TARGET_MS = 1000.0
-"""Target that is assumed for requests whose route declares none, in milliseconds."""
+"""Target assumed for requests whose route declares none, in milliseconds."""
 
 MILD_WAIT_SHARE = 0.5
-"""Share of a target up to which waiting does little harm; predictions are off by up to a half."""
+"""Share of the target up to which waiting costs little; predictions are off by up to a half."""
 
 MILD_WAIT_COST = 0.1
-"""Cost of waiting for that share: enough that requests spread over engines that are equal."""
+"""Cost of waiting for that share: enough to spread requests over otherwise equal engines."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefillModel:
-    """Describe how the engines of a service read.
+    """Prefill rate and inter-event gaps of a service's engines.
 
     Attributes:
-        tokens_per_ms: Prompt tokens read in a millisecond.
-        max_gap_ms: The longest pause in a stream while prompts are read beside it: an event's
-            tokens, each in a step that reads a chunk.
-        idle_gap_ms: The pause while nothing is read.
+        tokens_per_ms: Prompt tokens prefilled per millisecond.
+        max_gap_ms: The longest gap of a stream during prefill, in milliseconds: each token of the
+            event is produced in a step that also prefills a chunk.
+        idle_gap_ms: The gap without concurrent prefill, in milliseconds.
     """
 
     tokens_per_ms: float
@@ -94,18 +99,18 @@
 
     @property
     def tight_gap_ms(self) -> float:
-        """Return the allowed pause up to which streams can be made late by reading."""
+        """Return the allowed gap up to which streams can be made late by prefill."""
         return self.max_gap_ms / TIGHT_GAP_SHARE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefixSource:
-    """Describe the engine that holds most of a prompt.
+    """The engine that holds the longest prefix of a prompt.
 
     Attributes:
-        address: Where others fetch it from; empty if they can't.
-        tokens: How much of the prompt it holds, from the beginning.
-        ms_per_token: How long fetching takes.
+        address: Where other engines fetch the prefix from; empty if they can't.
+        tokens: Length of the prefix it holds.
+        ms_per_token: Fetch time per token, in milliseconds.
     """
 
     address: str = ""
@@ -115,14 +120,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CostInputs:
-    """Hold what is the same for all upstreams that are compared for a request.
+    """Inputs that are the same for all upstreams compared for one request.
 
     Attributes:
-        prefill_model: How the service's engines read.
-        cached_elsewhere: Parts of the prompt that some engine has read lately.
-        prefix_source: The engine that holds most of the prompt.
-        prompt_tokens: The tokens of the whole prompt.
-        waited_ms: How long the request has waited already.
+        prefill_model: Prefill rate and gaps of the service's engines.
+        cached_elsewhere: Prompt segments that some engine computed recently.
+        prefix_source: The engine that holds the longest prefix of the prompt.
+        prompt_tokens: Length of the prompt.
+        waited_ms: How long the request has been queued.
         now: The time in seconds.
     """
 
@@ -136,19 +141,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """Hold what placing a request on one upstream would cost.
+    """The cost of placing a request on one upstream.
 
     Attributes:
-        total: The sum that upstreams are compared by, in requests made late.
-        harm: The share of it that falls on streams that run there.
-        backlog_ms: Reading placed there before, which the request waits for.
-        cooldown_ms: Time for which streams there are to be left without long reading.
-        prefill_ms: The request's own reading, with what it fetches before.
-        prefill_tokens: What it reads, in tokens.
-        fetch_from: Address of the engine that the beginning is fetched from; empty for none.
-        recomputed_tokens: What of it another engine holds.
-        pending_tokens: What the engine is reading for another request, and would read once more
-            for this one if it started before that is done.
+        total: The sum that upstreams are compared by, in late requests.
+        harm: The part of it due to streams that run there.
+        backlog_ms: Prefill backlog that the request waits for, in milliseconds.
+        cooldown_ms: Time during which the streams there are to run without long prefill.
+        prefill_ms: The request's own prefill, including fetching.
+        prefill_tokens: Uncached tokens that it prefills.
+        fetch_from: Address of the engine that the prefix is fetched from; empty for none.
+        recomputed_tokens: Those of the prefilled tokens that another engine holds.
+        pending_tokens: Tokens that the engine is prefilling for another request, and would compute
+            twice if this one started before that is done.
     """
 
     total: float
@@ -167,7 +172,7 @@
     request: placement_messages.PlaceRequest,
     inputs: CostInputs,
 ) -> Cost:
-    """Return what the request would cost on this upstream."""
+    """Return the cost of placing the request on this upstream."""
     prefill_model = inputs.prefill_model
     cached_tokens = load.cache.cached_tokens(request.parts)
     fetched_tokens = _fetched_tokens(cached_tokens, inputs.prefix_source)
@@ -220,14 +225,14 @@
 
 
 def _fetched_tokens(cached_tokens: int, prefix_source: PrefixSource) -> int:
-    """Return how much of a prompt is fetched by an engine that holds a part of it itself."""
+    """Return how many tokens are fetched, beyond the prefix that the engine itself holds."""
     if not prefix_source.address or prefix_source.tokens - cached_tokens < MIN_FETCH_TOKENS:
         return 0
     return prefix_source.tokens - cached_tokens
 
 
 def lateness_cost(after_ms: float, target_ms: float) -> float:
-    """Return how late a request is that begins after a time: 1 at its target, little before."""
+    """Return the cost of starting after a time: 1 at the target, and little before it."""
     share = after_ms / (target_ms or DEFAULT_TARGET_MS)
     if share <= MILD_WAIT_SHARE:
         return MILD_WAIT_COST * share / MILD_WAIT_SHARE
@@ -239,7 +244,7 @@
 
 
 def _harm(load: upstream_load.UpstreamLoad, max_gap_ms: float) -> float:
-    """Return how many of the streams there a pause would make late."""
+    """Return the expected number of streams there that a gap would make late."""
     harm = 0.0
     for gap_ms, count in load.streams_by_gap_ms.items():
         excess = (max_gap_ms / gap_ms - SAFE_GAP_SHARE) / (LATE_GAP_SHARE - SAFE_GAP_SHARE)
--- a/src/medlarfork/placement/placement_decision.py
+++ b/src/medlarfork/placement/placement_decision.py
@@ -1,4 +1,4 @@
-"""Define what the owner of placement answers, with what the answer rests on."""
+"""Decisions of a placement owner, with the inputs that they depend on."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecisionInputs:
-    """Hold what a placement rests on, for the log.
+    """The inputs of a placement, for the log.
 
     Attributes:
-        waited_ms: How long the request waited with the owner, in milliseconds.
-        cost: What it costs where it was placed.
-        running: Requests that run there already.
-        candidates: Upstreams that were compared.
-        tokens_per_ms: The rate of reading that was reckoned with.
-        max_gap_ms: The longest pause of a stream beside reading that was reckoned with.
+        waited_ms: How long the request was queued at the owner, in milliseconds.
+        cost: Its cost on the upstream where it was placed.
+        running: Requests that already ran there.
+        candidates: Number of upstreams that could be used.
+        tokens_per_ms: The assumed prefill rate.
+        max_gap_ms: The assumed longest inter-event gap of a stream during prefill.
     """
 
     waited_ms: float
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """Tell an entry host what was decided.
+    """An answer of the owner, with its recipient.
 
     Attributes:
-        entry_id: Who asked.
-        message: The decision.
-        decision_inputs: What a placement rests on; None for the other answers.
+        entry_id: The entry host that asked.
+        message: The answer.
+        decision_inputs: What a placement depends on; None for the other answers.
     """
 
     entry_id: str
--- a/src/medlarfork/placement/placement_messages.py
+++ b/src/medlarfork/placement/placement_messages.py
@@ -1,7 +1,7 @@
-"""Define what entry hosts and the owner of placement say to each other about one request.
+"""Messages between entry hosts and the placement owner about one request.
 
-Any message may be lost or late. A placement is advice on where to send: whether a request may be
-sent, and how often, is decided by the entry host that has it.
+Any message may be lost or delayed. A placement is advice on where to send a request; the entry host
+that holds the request decides whether it is sent, and how often.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptSegment:
-    """Name one part of a prompt that several requests may share; parts come in order."""
+    """A prompt prefix segment that several requests may share; segments are in prompt order."""
 
     part_id: str
     tokens: int
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shard:
-    """Name a part of a service's upstreams that has an owner of its own.
+    """A part of a service's upstreams that has its own owner.
 
-    A shard stays the same one while their number changes: most of its upstreams stay with it, and
-    its owner goes on knowing what they hold.
+    A shard keeps its identity while the number of shards changes: most of its upstreams stay in it,
+    and its owner still knows their caches.
 
     Attributes:
-        service: Whose upstreams.
-        index: Which part, from 0.
-        count: Into how many parts the service is divided now; tells no two shards apart.
+        service: The service of the upstreams.
+        index: Number of the shard, from 0.
+        count: Number of shards that the service is divided into now; ignored in comparisons.
     """
 
     service: str
@@ -38,18 +38,18 @@
     count: int = dataclasses.field(default=1, compare=False)
 
     def has(self, upstream_id: str) -> bool:
-        """Return whether an upstream belongs to this part."""
+        """Return whether an upstream belongs to this shard."""
         return self.count == 1 or rendezvous.jump(upstream_id, self.count) == self.index
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """Tell how much work the owners of a service at one replica were asked to place.
+    """The load of a service that was offered to the placement owners at one replica.
 
     Attributes:
         service: The service.
-        read_ms: Reading of all prompts so far, as one engine takes for it, in milliseconds.
-        requests: Requests that run or wait now.
+        read_ms: Prefill time of all prompts so far on one engine, in milliseconds.
+        requests: Requests that run or are queued now.
     """
 
     service: str
@@ -62,25 +62,26 @@
     """Ask where to send a request.
 
     Attributes:
-        ticket_id: Names the question; never used twice.
-        service: Whose upstreams may run it.
-        tier: Rank; 0 comes first.
+        ticket_id: Identifies this placement request; never reused.
+        service: The service whose upstreams may run it.
+        tier: Priority; 0 is the highest.
         left_ms: Time until the caller gives up, in milliseconds.
-        target_ms: Time to the answer or first event that the caller expects, in milliseconds.
-        gap_ms: Longest pause between events that the caller expects; 0 for none.
-        parts: The prompt's parts.
-        output_tokens: Tokens that the answer may have; 0 for plain requests.
-        first_left_ms: Time until the caller leaves if no event has come, in milliseconds; 0 if that
-            is its deadline.
-        zone: Where the entry host is.
-        excluded: Upstreams that are not to be used, since they failed this request.
-        shard: The part of the service's upstreams whose owner is asked.
-        other_shard: The one that is asked if this one is busy; None if it has to wait here.
-        begins_within_ms: When it is foreseen to begin in the shard that was asked before, in
-            milliseconds: this one is to take it only if that is sooner here. 0 if none was asked.
-        busy_shard: The one that was asked after this one and was busy too; None if none was.
-        trial_key: Names a request under which upstreams ended, which runs only with the leave of
-            the replica that is asked; empty for all others.
+        target_ms: Expected time to the response or first event, in milliseconds.
+        gap_ms: Longest inter-event gap that the caller expects, in milliseconds; 0 for none.
+        parts: The prompt's prefix segments.
+        output_tokens: Maximum length of the answer in tokens; 0 for plain requests.
+        first_left_ms: Time until the caller leaves if no event has arrived, in milliseconds; 0 if
+            that is its deadline.
+        zone: Data centre of the entry host.
+        excluded: Upstreams that are not to be used because they failed this request.
+        shard: The shard whose owner is asked.
+        other_shard: The shard to ask if this one is busy; None if the request has to wait here.
+        begins_within_ms: The predicted start at the shard that was asked before, in milliseconds:
+            this shard accepts the request only if it starts sooner here. 0 if none was asked
+            before.
+        busy_shard: The shard that was asked after this one and was busy too; None if none was.
+        trial_key: Key of a crash-inducing request, which runs only as a trial that the replica
+            grants; empty for all others.
     """
 
     ticket_id: str
@@ -102,34 +103,34 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Return the tokens of the whole prompt."""
+        """Return the length of the prompt in tokens."""
         return sum(part.tokens for part in self.parts)
 
     @property
     def max_wait_ms(self) -> float:
-        """Return how long it may wait for its first event, in milliseconds."""
+        """Return the longest time that it may wait for its first event, in milliseconds."""
         return min(self.left_ms, self.first_left_ms) if self.first_left_ms else self.left_ms
 
     @property
     def memory_tokens(self) -> int:
-        """Return the tokens that it may fill of its engine's memory; none without a prompt."""
+        """Return the KV cache tokens that it may fill; none without a prompt."""
         return self.prompt_tokens + self.output_tokens if self.parts else 0
 
     @property
     def target_shard(self) -> Shard:
-        """Return the part whose owner is asked: the whole service unless a part is named."""
+        """Return the shard whose owner is asked: the entire service unless a shard is named."""
         return self.shard or Shard(self.service)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineEstimate:
-    """Hold what an owner has learnt of how a service's engines work (see ``read_rate``).
+    """An owner's estimate of how a service's engines work (see ``engine_estimator``).
 
     Attributes:
-        tokens_per_ms: Prompt tokens read in a millisecond.
-        chunk_tokens: Prompt tokens that one step reads.
-        step_ms: Time of a step besides reading.
-        fixed_ms: Time to a first event besides reading.
+        tokens_per_ms: Prompt tokens prefilled per millisecond.
+        chunk_tokens: Prompt tokens that one step prefills.
+        step_ms: Duration of a step without prefill, in milliseconds.
+        fixed_ms: Time to first event without prefill, in milliseconds.
     """
 
     tokens_per_ms: float
@@ -140,13 +141,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placed:
-    """Answer: send it to this incarnation.
+    """Answer: send the request to this incarnation.
 
     Attributes:
-        ticket_id: The question.
+        ticket_id: The placement request.
         upstream_id: The incarnation.
-        fetch_from: Address of an upstream that holds more of the prompt; empty for none.
-        belief: What the owner has learnt of engines; None if it has learnt nothing.
+        fetch_from: Address of an upstream that holds a longer prefix; empty for none.
+        belief: The owner's estimate of the engines; None if it has none yet.
     """
 
     ticket_id: str
@@ -157,16 +158,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """Answer: it waits for a slot; another answer follows."""
+    """Answer: the request is queued; another answer follows."""
 
     ticket_id: str
 
 
 class RefusalCause(enum.StrEnum):
-    """Say what has to change before a refused request may run.
+    """What has to change before a refused request may run.
 
-    With ``CLOSED`` no upstream of the shard takes it by their signals, while one of another shard
-    may; with ``TRIAL`` another request like it is on trial.
+    With ``CLOSED``, no upstream of the shard accepts it because of backpressure signals, but one of
+    another shard may; with ``TRIAL``, another copy of the request is on trial.
     """
 
     OVERLOAD = "overload"
@@ -176,13 +177,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceRefused:
-    """Answer: it can't be served in time.
+    """Answer: the request can't be served in time.
 
     Attributes:
-        ticket_id: The question.
-        retry_after_ms: When that is likely to change.
-        why: The reason, in plain words.
-        cause: What it is refused for.
+        ticket_id: The placement request.
+        retry_after_ms: When that is likely to change, in milliseconds.
+        why: The reason, as a phrase for people.
+        cause: The kind of refusal.
     """
 
     ticket_id: str
@@ -193,11 +194,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Busy:
-    """Answer: another shard is to be asked; nothing is kept of the question.
+    """Answer: ask another shard; the owner keeps no state of the request.
 
     Attributes:
-        ticket_id: The question.
-        begins_ms: When the request would begin here, as far as that is foreseen, in milliseconds.
+        ticket_id: The placement request.
+        begins_ms: Predicted start of the request here, in milliseconds.
     """
 
     ticket_id: str
@@ -209,18 +210,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstEvent:
-    """Report that a stream's first event came, ``after_ms`` after the request was sent."""
+    """Report that a stream's first event arrived, ``after_ms`` after the request was sent."""
 
     ticket_id: str
     after_ms: float
 
 
 class RunEnd(enum.StrEnum):
-    """Say how a run at an upstream ended.
+    """How a run on an upstream ended.
 
-    A broken one lost its connection before any answer: it may have run, and its upstream may have
-    crashed. One that is unreachable, or rejected it, did not run it. One that was not sent was
-    withdrawn by its entry host: the upstream asked for nothing more after it was placed.
+    A broken run lost its connection before any response: it may have run, and its upstream may have
+    crashed. An unreachable or rejected one did not run. One that was not sent was withdrawn by its
+    entry host because the upstream sent a backpressure signal after the placement.
     """
 
     COMPLETE = "complete"
@@ -234,7 +235,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InterEventGaps:
-    """Hold the pauses between the events of one stream, in milliseconds.
+    """The gaps between the events of one stream, in milliseconds.
 
     Attributes:
         usual_ms: The median.
@@ -247,13 +248,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnded:
-    """Report that a placed request has ended, or that it is not asked for any more.
+    """Report that a placed request has ended, or that a queued one is withdrawn.
 
     Attributes:
-        ticket_id: The question.
+        ticket_id: The placement request.
         end: How it ended.
-        after_ms: Time since it was sent.
-        pauses: Those of a stream that came from its first event to its end.
+        after_ms: Time since it was sent, in milliseconds.
+        pauses: Inter-event gaps of a stream that was followed from its first event to its end.
     """
 
     ticket_id: str
@@ -264,12 +265,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StillRunning:
-    """Tell a new owner of a request that another one, or the entry host alone, placed.
+    """Report to a new owner a running request that another owner, or the entry host alone, placed.
 
     Attributes:
-        request: What runs.
-        upstream_id: Where.
-        has_begun: Whether its first event came.
+        request: The request.
+        upstream_id: Where it runs.
+        has_begun: Whether its first event has arrived.
     """
 
     request: PlaceRequest
@@ -279,14 +280,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerChosen:
-    """Tell a replica whether the sender asks it from now on for the placement on a shard.
+    """Report to a replica whether the sender asks it from now on for placement on a shard.
 
-    What it held of the sender there is void.
+    All state that the replica holds for the sender on this shard becomes void.
 
     Attributes:
-        shard: Which one.
-        is_chosen: Whether the sender asks it.
-        belief: What the owner before had learnt of the engines, if the sender was told.
+        shard: The shard.
+        is_chosen: Whether the sender asks this replica.
+        belief: The previous owner's estimate of the engines, if the sender has it.
     """
 
     shard: Shard
@@ -305,4 +306,4 @@
     StillRunning,
     OwnerChosen,
 )
-"""Every message class of this module, for the codec of the links."""
+"""The message classes of this module, to be registered with the codec of the links."""
--- a/src/medlarfork/placement/prefix_cache.py
+++ b/src/medlarfork/placement/prefix_cache.py
@@ -1,7 +1,8 @@
-"""Estimate which parts of prompts an engine still holds, from what was sent to it.
+"""Estimate the prompt prefixes that an engine holds in its cache, from the requests sent to it.
 
-Engines let the least recently used parts yield and reuse a part only if all before it are held
-too. What they report of this is late and has gaps, so the owner's own sends are the better source.
+Engines evict the least recently used segments, and reuse a segment only if all before it are held
+too. Their own cache reports are late and incomplete, so the owner's placements are the better
+source.
 """
 
 from __future__ import annotations
@@ -11,33 +12,34 @@
 from medlarfork.placement import placement_messages
 
 USABLE_SHARE = 0.7
-"""Share of an engine's memory that is counted on for parts; running requests take the rest."""
+"""Share of an engine's memory that is assumed to hold cached segments; running requests take the
+rest."""
 
 
 class PrefixCache:
-    """Hold the parts sent to one engine, the least recently used first."""
+    """LRU model of the prompt segments that one engine holds."""
 
     def __init__(self, memory_tokens: int) -> None:
-        """Start with an empty engine."""
+        """Start with an empty cache."""
         self._limit_tokens = memory_tokens * USABLE_SHARE
         self._tokens_by_segment: collections.OrderedDict[str, int] = collections.OrderedDict()
         self._tokens = 0
 
     def set_memory(self, memory_tokens: int) -> None:
-        """Take another size of the engine's memory."""
+        """Change the size of the engine's memory."""
         self._limit_tokens = memory_tokens * USABLE_SHARE
 
     def cached_segments(
         self, segments: tuple[placement_messages.PromptSegment, ...]
     ) -> tuple[placement_messages.PromptSegment, ...]:
-        """Return the parts of a prompt that the engine holds, from its beginning."""
+        """Return the leading segments of a prompt that the engine holds."""
         for place, segment in enumerate(segments):
             if segment.part_id not in self._tokens_by_segment:
                 return segments[:place]
         return segments
 
     def cached_tokens(self, segments: tuple[placement_messages.PromptSegment, ...]) -> int:
-        """Return how many tokens of a prompt the engine holds, from its beginning."""
+        """Return the length of the prefix of a prompt that the engine holds, in tokens."""
         cached = 0
         for segment in segments:
             if segment.part_id not in self._tokens_by_segment:
@@ -48,12 +50,12 @@
     def uncached_segments(
         self, segments: tuple[placement_messages.PromptSegment, ...]
     ) -> frozenset[str]:
-        """Return the parts of a prompt that the engine has to read."""
+        """Return the ids of the segments of a prompt that the engine has to prefill."""
         cached = len(self.cached_segments(segments))
         return frozenset(segment.part_id for segment in segments[cached:])
 
     def uncached_tokens(self, segments: tuple[placement_messages.PromptSegment, ...]) -> int:
-        """Return how many tokens of a prompt the engine has to read."""
+        """Return how many tokens of a prompt the engine has to prefill."""
         return sum(segment.tokens for segment in segments) - self.cached_tokens(segments)
 
     def recomputed_tokens(
@@ -61,7 +63,7 @@
         segments: tuple[placement_messages.PromptSegment, ...],
         cached_elsewhere: frozenset[str],
     ) -> int:
-        """Return how many tokens the engine has to read that another engine holds."""
+        """Return how many tokens the engine would prefill although another engine holds them."""
         missing = 0
         is_cached = True
         for segment in segments:
@@ -71,7 +73,7 @@
         return missing
 
     def add(self, segments: tuple[placement_messages.PromptSegment, ...]) -> None:
-        """Note that a prompt was sent; later parts yield before the ones they build on."""
+        """Add a prompt; its later segments are evicted before the ones they build on."""
         for segment in reversed(segments):
             self._tokens -= self._tokens_by_segment.pop(segment.part_id, 0)
             self._tokens_by_segment[segment.part_id] = segment.tokens
@@ -81,6 +83,6 @@
             self._tokens -= tokens
 
     def clear(self) -> None:
-        """Forget everything, as after a restart of the engine."""
+        """Clear the cache, as after a restart of the engine."""
         self._tokens_by_segment.clear()
         self._tokens = 0
--- a/src/medlarfork/placement/recent_prefixes.py
+++ b/src/medlarfork/placement/recent_prefixes.py
@@ -1,4 +1,4 @@
-"""Remember which shared parts of prompts some engine of a service has read lately: pure."""
+"""Remember which shared prompt segments an engine of a service computed recently. Pure."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from medlarfork.placement import placement_messages
 
 REUSE_WINDOW_S = 10.0
-"""How long a part that was read counts as held by an engine, in seconds: within it, reading the
-part elsewhere is waste."""
+"""How long a computed segment counts as held by an engine, in seconds: within it, computing the
+segment on another engine is waste."""
 
 MAX_SEGMENTS = 50_000
-"""Parts of prompts whose last reading is remembered, which bounds memory to a few megabytes."""
+"""Segments whose last computation is remembered, which bounds memory to a few megabytes."""
 
 
 class RecentPrefixes:
-    """Hold when each shared part was read last."""
+    """Keep the time at which each shared segment was last computed."""
 
     def __init__(self) -> None:
-        """Start with nothing read."""
+        """Start without segments."""
         self._computed_at_by_segment: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def record(self, segments: tuple[placement_messages.PromptSegment, ...], now: float) -> None:
-        """Note that a prompt is read; its last part is its own and is not remembered."""
+        """Record the prefill of a prompt; its last segment is not shared and is left out."""
         for segment in segments[:-1]:
             self._computed_at_by_segment[segment.part_id] = now
             self._computed_at_by_segment.move_to_end(segment.part_id)
@@ -34,7 +34,7 @@
     def recently_computed(
         self, segments: tuple[placement_messages.PromptSegment, ...], now: float
     ) -> frozenset[str]:
-        """Return the shared parts of a prompt that were read within ``REUSE_WINDOW_S``."""
+        """Return the shared segments of a prompt that were computed within ``REUSE_WINDOW_S``."""
         oldest = now - REUSE_WINDOW_S
         return frozenset(
             segment.part_id
--- a/src/medlarfork/placement/shard_choice.py
+++ b/src/medlarfork/placement/shard_choice.py
@@ -1,13 +1,13 @@
-"""Divide a service's upstreams into shards, and choose the shard of each request: pure.
+"""Divide a service's upstreams into shards, and choose the shard of each request. Pure.
 
-The load that this answers: hundreds of requests a second for tens of engines. One owner compares
-every engine for every request, so its work grows with both; one that falls behind leaves entry
-hosts to place blindly. Shards with an owner each divide both, and requests about one matter still
-meet at the engines that have read it.
+It serves hundreds of requests a second on tens of engines. One owner compares every engine for
+every request, so its work grows with both, and an owner that falls behind leaves entry hosts to
+place without it. Shards with one owner each divide both, and requests with the same affinity key
+still meet at the engines that hold their prefix.
 
-Engines come and go, in releases a third of them within seconds. So a shard more or less moves only
-the engines of that shard: divided anew each time, all owners were new to all engines, and had them
-read again what they held.
+Engines come and go, in a release a third of them within seconds. So adding or removing a shard
+moves only the engines of that shard. A full reassignment would make all engines new to their
+owners, who would recompute prefixes that the engines hold.
 """
 
 from __future__ import annotations
@@ -24,54 +24,55 @@
 from medlarfork.placement import placement_messages
 
 UPSTREAMS_PER_SHARD = 12
-"""Upstreams that a shard has on average, at most: more cost its owner more for each request, and
-with fewer, shards are so uneven that the smallest refuse while others have room."""
+"""Highest mean number of upstreams in a shard. More of them cost the owner more time per
+request; with fewer, shards differ so much in size that the smallest refuse while others have
+capacity."""
 
 OWNER_CACHE_SIZE = 256
-"""Results that are remembered: asked for with every request, and new only when a replica comes or
-goes."""
+"""Owner lists that are cached: they are needed for every request, and change only when a replica
+joins or leaves."""
 
 AFFINITY_SEGMENT = 1
-"""Which part of a prompt names the matter that requests share; nearly all share the first."""
+"""Index of the prompt segment that is the affinity key; nearly all prompts share the first one."""
 
 
 def count(upstreams: int) -> int:
-    """Return into how many shards a service with this many upstreams is divided."""
+    """Return the number of shards of a service with this many upstreams."""
     return max(1, math.ceil(upstreams / UPSTREAMS_PER_SHARD))
 
 
 def sizes(
     service: str, upstreams: Iterable[upstream_types.Announcement]
 ) -> dict[placement_messages.Shard, int]:
-    """Return the shards of a service with their numbers of upstreams; empty ones are left out."""
+    """Return the shards of a service with their numbers of upstreams, without empty shards."""
     own = [item.upstream_id for item in upstreams if item.service == service]
-    parts = count(len(own))
-    counted = collections.Counter(rendezvous.jump(upstream_id, parts) for upstream_id in own)
+    shards = count(len(own))
+    counted = collections.Counter(rendezvous.jump(upstream_id, shards) for upstream_id in own)
     return {
-        placement_messages.Shard(service, index, parts): size
+        placement_messages.Shard(service, index, shards): size
         for index, size in sorted(counted.items())
     }
 
 
-def affinity_key(parts: tuple[placement_messages.PromptSegment, ...]) -> str:
-    """Return what a prompt is about; empty if it shares nothing with others."""
-    return parts[AFFINITY_SEGMENT].part_id if len(parts) > AFFINITY_SEGMENT else ""
+def affinity_key(segments: tuple[placement_messages.PromptSegment, ...]) -> str:
+    """Return the affinity key of a prompt; empty if it shares nothing with others."""
+    return segments[AFFINITY_SEGMENT].part_id if len(segments) > AFFINITY_SEGMENT else ""
 
 
 def choose(
     key: str, size_by_shard: dict[placement_messages.Shard, int], service: str
 ) -> tuple[placement_messages.Shard, placement_messages.Shard | None]:
-    """Return the shard for a key, in proportion to the shards' upstreams, and the next one.
+    """Return the shard for a key, in proportion to the shards' upstreams, and an alternative.
 
-    Weighted rendezvous hashing: a shard that grows or shrinks moves few keys.
+    It uses weighted rendezvous hashing, so that a shard that grows or shrinks moves few keys.
 
     Args:
-        key: What is to meet in one shard.
+        key: Requests with the same key get the same shard.
         size_by_shard: The shards with their numbers of upstreams.
-        service: Used where there is no shard.
+        service: Used if there is no shard.
 
     Returns:
-        The shard, and the one to be asked while it is busy; None if there is no other.
+        The shard, and the one to ask while it is busy; None if there is no other.
     """
     if len(size_by_shard) <= 1:
         return next(iter(size_by_shard), placement_messages.Shard(service)), None
@@ -85,9 +86,9 @@
 def owners(service: str, count: int, replica_ids: tuple[str, ...]) -> tuple[str, ...]:
     """Return the owner of each shard of a service, in order; empty without replicas.
 
-    Each is the first replica by a hash that owns no earlier shard, so that no replica has two
-    while another has none, and one that is lost moves few shards. Another number of shards moves
-    none of those that stay.
+    Each owner is the first replica in hash order that owns no earlier shard, so that no replica has
+    two while another has none, and losing a replica moves few shards. Changing the number of shards
+    moves none of the remaining ones.
     """
     chosen: list[str] = []
     for index in range(count if replica_ids else 0):
@@ -99,5 +100,5 @@
 
 def _score(key: str, shard: placement_messages.Shard, size: int) -> float:
     digest = hashlib.blake2b(f"{key}\0{shard.index}".encode(), digest_size=8).digest()
-    draw = (int.from_bytes(digest, "big") + 0.5) / 2.0**64
-    return -size / math.log(draw)
+    uniform = (int.from_bytes(digest, "big") + 0.5) / 2.0**64
+    return -size / math.log(uniform)
--- a/src/medlarfork/placement/shard_owner.py
+++ b/src/medlarfork/placement/shard_owner.py
@@ -1,4 +1,4 @@
-"""Place the requests of one service: where each runs, who waits, and who is refused."""
+"""Place the requests of one shard: start them on an upstream, queue them, or refuse them."""
 
 from __future__ import annotations
 
@@ -19,30 +19,31 @@
 from medlarfork.routes import routing
 
 MAX_WAITING = 2000
-"""Requests that wait for a slot at once; beyond, new ones are refused, which bounds memory."""
+"""Longest queue, in requests; beyond it new ones are refused, which bounds memory."""
 
 PASS_PERIOD_S = 0.01
-"""Least time between two passes over the requests that wait, in seconds: a small part of any
-target. Without it each run that ends costs a pass, and an owner that falls behind never recovers:
-the ends that it has not read yet make engines look full, and more requests wait."""
+"""Shortest interval between two passes over the queue, in seconds: a small part of any target.
+Without it each run that ends costs a pass, and an owner that falls behind never recovers: the
+reports of ended runs that it has not read yet make engines look full, so more requests are
+queued."""
 
 COMPARISONS_PER_PASS = 24
-"""Upstreams that are compared for the requests of one kind in one pass. With the period it keeps an
-owner whose engines are all busy at a part of its processor: one that answers late leaves entry
-hosts to fill engines blindly, which then stop what is more urgent."""
+"""Upstreams compared for the requests of one kind in one pass. Together with the period it
+limits the processor time of an owner whose engines are all busy. An owner that answers late
+leaves entry hosts to fill engines without it, and these then preempt more urgent requests."""
 
 MIN_TRIES = 2
-"""Requests of one kind that are tried in a pass however many upstreams there are."""
+"""Requests of one kind that are tried in each pass, however many upstreams there are."""
 
 
 class ShardOwner:
-    """Decide for one service; pure, the time is handed in."""
+    """Decide for the requests of one shard. Pure: callers pass the time."""
 
     def __init__(self, gate: send_gate.SendGate | None = None) -> None:
         """Start without upstreams, as a plain service.
 
         Args:
-            gate: Says which upstreams may get a request; None where none asks for anything.
+            gate: Paces requests to upstreams; None if no upstream sends backpressure signals.
         """
         self._longest_target_ms = 0.0
         self._queue = wait_queue.WaitQueue()
@@ -58,28 +59,29 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait for a slot."""
+        """Return the number of queued requests."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return sum(len(load.run_by_ticket) for load in self.load_by_id.values())
 
     def use_engine(self, engine: routing.EngineFacts | None) -> None:
-        """Take what the routing says of the service's engines; None for plain services."""
+        """Apply the engine facts of the routing; None for plain services."""
         self._chooser.use_engine(engine)
 
     def use_upstreams(self, announcements: dict[str, upstream_types.Announcement]) -> None:
-        """Take the upstreams that may be used now; runs on others are left to their ends."""
+        """Set the upstreams that may be used now; runs on others continue to their ends."""
         self._chooser.use_upstreams(announcements)
 
     def place(
         self, entry_id: str, request: placement_messages.PlaceRequest, now: float
     ) -> tuple[placement_decision.Decision, ...]:
-        """Place a request at once, let it wait, send it to another shard, or refuse it.
+        """Start a request, queue it, send it to another shard, or refuse it.
 
-        One that is asked for again, by a host that chose its owner anew, gets its answer again.
+        If an entry host that chose its owner again repeats a request, it gets the same answer
+        again.
         """
         known = self._known_answer(request.ticket_id)
         if known is not None:
@@ -100,7 +102,7 @@
             ):
                 if self._busy_shards.may_ask(request, now):
                     return (self._busy(waiting, predicted_ms + waiting.prefill_ms),)
-                why = f"it would wait about {predicted_ms:.0f} ms"
+                why = f"its predicted wait is about {predicted_ms:.0f} ms"
                 after_ms = admission_policy.retry_after_ms(request, predicted_ms)
                 return (self._refuse(waiting, why, after_ms),)
         closed_ms = self._chooser.closed_ms(waiting, now)
@@ -110,11 +112,11 @@
         if answer is not None:
             return (answer,)
         if self._busy_shards.may_ask(request, now):
-            begins_ms = max(self._predicted_start_ms(waiting, now), closed_ms)
-            if begins_ms >= spillover.max_start_ms(request, self.estimator.tokens_per_ms):
-                return (self._busy(waiting, begins_ms),)
+            start_ms = max(self._predicted_start_ms(waiting, now), closed_ms)
+            if start_ms >= spillover.max_start_ms(request, self.estimator.tokens_per_ms):
+                return (self._busy(waiting, start_ms),)
         if len(self._queue) >= MAX_WAITING:
-            why = "too many requests wait already"
+            why = "the queue is full"
             return (self._refuse(waiting, why, admission_policy.MIN_RETRY_MS),)
         if not self._queue:
             self._forecast.record_queue_start(now)
@@ -124,7 +126,7 @@
         )
 
     def _known_answer(self, ticket_id: str) -> placement_messages.Answer | None:
-        """Return what was answered to a request that waits or runs."""
+        """Return the answer to a request that is already queued or running."""
         if ticket_id in self._queue:
             return placement_messages.Queued(ticket_id)
         for upstream_id, load in self.load_by_id.items():
@@ -133,21 +135,21 @@
         return None
 
     def on_first_event(self, message: placement_messages.FirstEvent, now: float) -> None:
-        """Learn from the time to a first event."""
+        """Record a first event, and learn from the time that it took."""
         for load in self.load_by_id.values():
             run = load.run_by_ticket.get(message.ticket_id)
             if run is None:
                 continue
-            begun = load.record_first_event(
+            started_run = load.record_first_event(
                 message.ticket_id, admission_policy.prefill_cooldown_ms(run.prefill_ms), now
             )
-            if begun is not None and begun.is_rate_sample:
-                self.estimator.observe_first_event(begun.prefill_tokens, message.after_ms)
+            if started_run is not None and started_run.is_rate_sample:
+                self.estimator.observe_first_event(started_run.prefill_tokens, message.after_ms)
 
     def on_ended(
         self, message: placement_messages.RunEnded, now: float
     ) -> tuple[placement_decision.Decision, ...]:
-        """Free the slot of a run that ended, or drop a request that does not wait any more."""
+        """Release the slot of a run that ended, or remove a withdrawn request from the queue."""
         self._queue.remove(message.ticket_id)
         for load in self.load_by_id.values():
             run = load.end(message.ticket_id, message.end, now)
@@ -159,7 +161,7 @@
         return self.serve_due(now)
 
     def serve_due(self, now: float) -> tuple[placement_decision.Decision, ...]:
-        """Start those that can, unless that was looked at just now."""
+        """Start queued requests that can start, unless the last pass was just now."""
         if now < self._passed_at + PASS_PERIOD_S:
             return ()
         return self.serve_waiting(now)
@@ -167,7 +169,7 @@
     def on_still_running(
         self, entry_id: str, message: placement_messages.StillRunning, now: float
     ) -> None:
-        """Take over a run that an earlier owner placed."""
+        """Add a run that an earlier owner placed."""
         load = self.load_by_id.get(message.upstream_id)
         if load is None or message.request.ticket_id in load.run_by_ticket:
             return
@@ -178,13 +180,13 @@
             prefill_tokens,
             prefill_tokens / self.estimator.tokens_per_ms,
             is_rate_sample=False,
-            has_begun=message.has_begun,
+            has_started=message.has_begun,
             deadline=now + message.request.left_ms / 1000.0,
         )
         load.add(run, now)
 
     def release_entry(self, entry_id: str, now: float) -> tuple[placement_decision.Decision, ...]:
-        """Free what a lost entry host held; its upstream connections are gone with it."""
+        """Release everything of a lost entry host, whose upstream connections are gone with it."""
         self._queue.remove_entry(entry_id)
         for load in self.load_by_id.values():
             lost = [
@@ -197,9 +199,9 @@
         return self.serve_waiting(now)
 
     def end_overdue(self, now: float) -> tuple[str, ...]:
-        """Take off the runs whose end was never reported; return their tickets.
+        """End the runs whose end was never reported; return their tickets.
 
-        Upstreams that are gone for good are forgotten too.
+        Upstreams that have been absent for long are evicted too.
         """
         overdue = tuple(
             ticket_id for load in self.load_by_id.values() for ticket_id in load.end_overdue(now)
@@ -210,9 +212,9 @@
         return overdue
 
     def serve_waiting(self, now: float) -> tuple[placement_decision.Decision, ...]:
-        """Start those that can: the highest tier first, then the nearest target.
+        """Start queued requests that can start: the highest tier first, then the shortest target.
 
-        Of each kind only the first ones are tried in one pass: what holds these up holds up those
+        Of each kind only the first ones are tried in a pass: what delays these delays the ones
         behind them too.
         """
         self._passed_at = now
@@ -232,8 +234,8 @@
     def _serve(
         self, waiting: wait_queue.WaitingRequest, now: float, *, may_try: bool
     ) -> placement_decision.Decision | None:
-        """Return what becomes of a waiting request, or None if it goes on waiting."""
-        why = "it could not begin in time"
+        """Return the answer to a queued request, or None if it stays in the queue."""
+        why = "it could not start in time"
         retry_ms = admission_policy.overloaded_retry_ms(waiting.request)
         if waiting.answer_by <= now:
             closed_ms = self._chooser.closed_ms(waiting, now)
@@ -255,10 +257,10 @@
     def _reject_closed(
         self, waiting: wait_queue.WaitingRequest, closed_ms: float, now: float
     ) -> placement_decision.Decision:
-        """Send a request on that no upstream takes in time, or refuse it if nobody else may."""
+        """Send a request that no upstream accepts in time to another shard, or refuse it."""
         if self._busy_shards.may_ask(waiting.request, now):
             return self._busy(waiting, closed_ms)
-        why = f"every upstream is at its limit or wants a pause for about {closed_ms:.0f} ms"
+        why = f"every upstream is rate-limited or in backoff for about {closed_ms:.0f} ms"
         retry_ms = max(closed_ms, admission_policy.MIN_RETRY_MS)
         ticket_id = waiting.request.ticket_id
         cause = placement_messages.RefusalCause.CLOSED
@@ -273,7 +275,7 @@
     def _try(
         self, waiting: wait_queue.WaitingRequest, now: float
     ) -> placement_decision.Decision | None:
-        """Return the placement, or None if the request has to wait."""
+        """Start a request if it may start now; otherwise return None."""
         request = waiting.request
         best = self._chooser.best(waiting, now)
         if best is None:
@@ -302,7 +304,7 @@
             request,
             cost.prefill_tokens,
             cost.prefill_ms,
-            is_rate_sample=cost.wait_ms <= 0.0 and not cost.fetch_from,
+            is_rate_sample=cost.backlog_ms <= 0.0 and not cost.fetch_from,
             deadline=waiting.deadline,
         )
         self._chooser.add(run, load, now)
@@ -310,7 +312,7 @@
             request.ticket_id,
             load.announcement.upstream_id,
             cost.fetch_from,
-            self.estimator.belief if self.estimator.has_measured else None,
+            self.estimator.estimate if self.estimator.has_measured else None,
         )
         decision_inputs = placement_decision.DecisionInputs(
             waited_ms=(now - waiting.queued_at) * 1000.0,
@@ -323,7 +325,7 @@
         return placement_decision.Decision(waiting.entry_id, placed, decision_inputs)
 
     def _predicted_wait_ms(self, waiting: wait_queue.WaitingRequest, now: float) -> float:
-        """Return how long a request that comes now would wait, in milliseconds."""
+        """Return how long a new request would wait, in milliseconds."""
         present = self._chooser.present
         tight_gap_ms = self._chooser.prefill_model().tight_gap_ms
         return self._forecast.wait_ms(
@@ -334,24 +336,24 @@
         )
 
     def _predicted_start_ms(self, waiting: wait_queue.WaitingRequest, now: float) -> float:
-        """Return when a request that can't start at once would begin, in milliseconds.
+        """Return the predicted start of a request that can't start immediately, in milliseconds.
 
-        Short ones wait for slots and for streams to end rather than for reading: of these nothing
-        is foreseen.
+        Short requests wait for slots and for streams to end rather than for prefill, which can't be
+        predicted.
         """
         if spillover.shared_tokens(waiting.request) <= spillover.CHEAP_RECOMPUTE_TOKENS:
             return spillover.UNKNOWN_START_MS
         return self._predicted_wait_ms(waiting, now) + waiting.prefill_ms
 
     def _is_deferrable(self, request: placement_messages.PlaceRequest) -> bool:
-        """Return whether no kind of request has a longer target; learnt from those that came."""
+        """Return whether no kind of request seen so far has a longer target."""
         self._longest_target_ms = max(self._longest_target_ms, request.target_ms)
         return request.target_ms >= self._longest_target_ms
 
     def _busy(
-        self, waiting: wait_queue.WaitingRequest, begins_ms: float
+        self, waiting: wait_queue.WaitingRequest, start_ms: float
     ) -> placement_decision.Decision:
-        busy = placement_messages.Busy(waiting.request.ticket_id, begins_ms)
+        busy = placement_messages.Busy(waiting.request.ticket_id, start_ms)
         return placement_decision.Decision(waiting.entry_id, busy)
 
     def _refuse(
--- a/src/medlarfork/placement/upstream_chooser.py
+++ b/src/medlarfork/placement/upstream_chooser.py
@@ -1,4 +1,4 @@
-"""Hold the upstreams of one shard, and choose the one that costs a request least: pure."""
+"""Hold the upstreams of one shard, and choose the one with the lowest cost for a request. Pure."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 from medlarfork.routes import routing
 
 PLAIN_MEMORY_TOKENS = 0
-"""Plain services hold no parts of prompts."""
+"""Upstreams of plain services cache no prompt prefixes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Hold the best upstream for a request, and what running it there costs."""
+    """The best upstream for a request, with its cost."""
 
     load: upstream_load.UpstreamLoad
     cost: placement_cost.Cost
 
 
 class UpstreamChooser:
-    """Compare upstreams; the time is handed in, in seconds.
+    """Compare the upstreams of a shard; callers pass the time, in seconds.
 
     Attributes:
-        estimator: What is learnt of how the engines work.
-        load_by_id: What is known of each upstream, by incarnation.
-        gate: When upstreams may get a request.
+        estimator: Estimates how the engines work.
+        load_by_id: The state of each upstream, by incarnation.
+        gate: Paces requests to upstreams.
     """
 
     def __init__(self, gate: send_gate.SendGate, queue: wait_queue.WaitQueue) -> None:
         """Start without upstreams, as a plain service.
 
         Args:
-            gate: Says which upstreams may get a request.
-            queue: The requests that wait.
+            gate: Paces requests to upstreams.
+            queue: The queued requests.
         """
         self._memory_tokens = PLAIN_MEMORY_TOKENS
         self.event_tokens = 1
@@ -54,7 +54,7 @@
         self.gate = shard_gate.ShardGate(gate, queue)
 
     def use_engine(self, engine: routing.EngineFacts | None) -> None:
-        """Take what the routing says of the service's engines; None for plain services."""
+        """Apply the engine facts of the routing; None for plain services."""
         self._memory_tokens = PLAIN_MEMORY_TOKENS if engine is None else engine.memory_tokens
         self.event_tokens = 1 if engine is None else engine.event_tokens
         self._fetch_ms_per_token = 0.0 if engine is None else engine.fetch_ms_per_token
@@ -62,10 +62,10 @@
             load.set_memory(self._memory_tokens)
 
     def use_upstreams(self, announcements: dict[str, upstream_types.Announcement]) -> None:
-        """Take the upstreams that may be used now; runs on others are left to their ends.
+        """Set the upstreams that may be used now; runs on others continue to their ends.
 
-        What is known of one that is not there now is kept for a while: one that was only not heard
-        of still runs what it ran, and still holds what it read.
+        The state of an absent upstream is kept for a while: if only its announcements were lost, it
+        still runs its requests and still holds its cache.
         """
         for upstream_id, load in self.load_by_id.items():
             load.is_present = upstream_id in announcements
@@ -82,7 +82,7 @@
         return [load for load in self.load_by_id.values() if load.is_present]
 
     def best(self, waiting: wait_queue.WaitingRequest, now: float) -> Choice | None:
-        """Return the upstream that costs a request least, or None if none may take it now."""
+        """Return the upstream with the lowest cost, or None if none may get the request now."""
         request = waiting.request
         candidates = self._candidates(waiting, now)
         if not candidates:
@@ -104,28 +104,28 @@
         return best
 
     def add(self, run: upstream_load.Run, load: upstream_load.UpstreamLoad, now: float) -> None:
-        """Count a run that is placed on an upstream."""
+        """Add a run that is placed on an upstream."""
         load.add(run, now)
         self.gate.record_send(load, now)
         self._recent_prefixes.record(run.request.parts, now)
 
     def closed_ms(self, waiting: wait_queue.WaitingRequest, now: float) -> float:
-        """Return how long no upstream takes a request by what they ask for, in milliseconds."""
+        """Return the time until backpressure admits a request somewhere, in milliseconds."""
         if self.gate.is_unrestricted:
             return 0.0
         return self.gate.closed_ms(waiting, self._allowed(waiting.request), now)
 
     def has_tight_stream(self) -> bool:
-        """Return whether streams run that reading beside them makes late.
+        """Return whether a stream runs that concurrent prefill makes late.
 
-        Only for their sake long prompts are held: where none can be harmed, an engine that always
-        has the next prompt at hand reads most.
+        Long prompts are held only for the sake of such streams. Without them, an engine prefills
+        most if it always has the next prompt at hand.
         """
         tight_gap_ms = self.prefill_model().tight_gap_ms
         return any(load.has_tight_stream(tight_gap_ms) for load in self.present)
 
     def prefill_model(self) -> placement_cost.PrefillModel:
-        """Return how the engines read prompts and produce events."""
+        """Return the prefill rate and inter-event gaps of the engines."""
         return placement_cost.PrefillModel(
             self.estimator.tokens_per_ms,
             self.estimator.max_gap_ms(self.event_tokens),
@@ -133,7 +133,7 @@
         )
 
     def min_prefill_ms(self, request: placement_messages.PlaceRequest) -> float:
-        """Return how long reading takes on the engine that holds most of the prompt."""
+        """Return the prefill time on the engine that holds the longest prefix, in milliseconds."""
         tokens = min(
             (load.cache.uncached_tokens(request.parts) for load in self.present),
             default=sum(part.tokens for part in request.parts),
@@ -143,7 +143,7 @@
     def _prefix_source(
         self, request: placement_messages.PlaceRequest, now: float
     ) -> placement_cost.PrefixSource:
-        """Return the engine in order that holds most of a prompt, if others can fetch from it."""
+        """Return the healthy engine that holds the longest prefix, if others can fetch from it."""
         if not self._fetch_ms_per_token or len(request.parts) < 2:
             return placement_cost.PrefixSource()
         best = placement_cost.PrefixSource()
@@ -157,17 +157,17 @@
     def _candidates(
         self, waiting: wait_queue.WaitingRequest, now: float
     ) -> list[upstream_load.UpstreamLoad]:
-        """Return the upstreams with a free slot; those that failed lately only if all did.
+        """Return the upstreams with a free slot; those in failure backoff only if all are.
 
-        Where the sound ones are full, or may get nothing now, a request waits: sent to one that
-        failed it would be lost.
+        While the healthy ones are full or may get nothing now, a request is queued: on an upstream
+        in failure backoff it would be lost.
         """
         tokens = waiting.request.memory_tokens
         allowed = self._allowed(waiting.request)
-        sound = [load for load in allowed if not load.is_backing_off(now)]
+        healthy = [load for load in allowed if not load.is_backing_off(now)]
         return [
             load
-            for load in sound or allowed
+            for load in healthy or allowed
             if not load.is_full
             and load.has_memory_for(tokens)
             and self.gate.is_open(load, waiting.entry_id, now)
--- a/src/medlarfork/placement/upstream_load.py
+++ b/src/medlarfork/placement/upstream_load.py
@@ -1,4 +1,4 @@
-"""Keep what the owner of placement knows of one upstream: its runs, its reading, its failures."""
+"""State of one upstream at the placement owner: its runs, prefill backlog and failures."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 from medlarfork.placement import placement_messages, prefix_cache, step_window
 
 INITIAL_BACKOFF_S = 0.5
-"""Pause after a first failure before an upstream is tried again, in seconds."""
+"""Backoff after a first failure before an upstream is probed, in seconds."""
 
 MAX_BACKOFF_S = 8.0
-"""Longest such pause, in seconds; pauses double with each failure in a row."""
+"""Longest failure backoff, in seconds; it doubles with each consecutive failure."""
 
 STUCK_S = 0.4
-"""Time by which a first event may be late before its upstream counts as standing still, in
-seconds: more than any step and way take, and less than callers of the shortest targets wait."""
+"""How long a first event may be overdue before its upstream counts as stuck, in seconds: more
+than any step and network latency, and less than callers with the shortest targets wait."""
 
 STUCK_FACTOR = 3.0
-"""The same as a multiple of the reading's own time, for engines that read several at once."""
+"""The same as a multiple of the prefill time, for engines that prefill several prompts at once."""
 
 LOST_RUN_GRACE_S = 2.0
-"""Time after a request's caller has given up at which its run counts as ended, in seconds: the
-report of its end was lost, and the slot would be taken forever."""
+"""Time after a caller's deadline at which its run counts as ended, in seconds: the report of its
+end was lost, and its slot would never be released."""
 
 ABSENT_RETENTION_S = 15.0
-"""How long an upstream that is not there is remembered, in seconds: longer than one that runs is
-not heard of in a cut, with the time that replicas take to hear of it again."""
+"""How long an absent upstream is remembered, in seconds: longer than a running one is unheard
+during a network partition, plus the time in which replicas hear of it again."""
 
 MEMORY_SHARE = 0.95
-"""Share of an engine's memory that running requests may fill. Beyond it the engine stops some of
-them and reads them again later; the rest covers answers that are longer than announced."""
+"""Share of an engine's memory that running requests may fill. Beyond it the engine preempts some
+of them and recomputes them later; the rest covers answers longer than announced."""
 
 FAILURE_WEIGHT = 0.12
-"""Weight of the latest end in the share of failures: about the last eight runs count."""
+"""Weight of the latest run in the failure rate: about the last eight runs count."""
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Hold a request that was sent to an upstream.
+    """A request that was placed on an upstream and has not ended.
 
     Attributes:
         entry_id: The entry host that sent it.
-        request: What was asked.
-        prefill_tokens: Prompt tokens that the upstream has to read.
-        prefill_ms: How long that takes, in milliseconds.
-        is_rate_sample: Whether its first event tells the rate: no other reading was under way when it
-            was placed, and nothing was fetched.
-        has_begun: Whether its first event came.
-        uncached_segments: Parts of its prompt that the upstream held only once it had read them for it.
+        request: The placement request.
+        prefill_tokens: Uncached prompt tokens that the upstream has to prefill.
+        prefill_ms: Predicted duration of that prefill, in milliseconds.
+        is_rate_sample: Whether its time to first event measures the prefill rate: no other prefill
+            was pending when it was placed, and no prefix was fetched.
+        has_started: Whether its first event was reported.
+        uncached_segments: Prompt segments that the upstream has to compute for this request.
         deadline: When its caller gives up, in seconds.
-        max_concurrent_prefill_ms: The most reading that was ahead at one time while it produced events.
+        max_concurrent_prefill_ms: Largest prefill backlog at any time while it streamed.
     """
 
     entry_id: str
@@ -59,31 +59,31 @@
     prefill_tokens: int
     prefill_ms: float
     is_rate_sample: bool
-    has_begun: bool = False
+    has_started: bool = False
     uncached_segments: frozenset[str] = frozenset()
     deadline: float = math.inf
     max_concurrent_prefill_ms: float = 0.0
 
     @property
     def memory_tokens(self) -> int:
-        """Return the tokens that it may fill of its engine's memory."""
+        """Return the KV cache tokens that it may fill."""
         return self.request.memory_tokens
 
 
 class UpstreamLoad:
-    """Count one upstream's runs and foresee its reading; pure.
+    """Track one upstream's runs and predict its prefill. Pure: no I/O, no clock.
 
     Attributes:
-        announcement: What the upstream said of itself.
-        cache: Parts of prompts that it holds.
-        steps: The steps that it is believed to take.
+        announcement: The upstream's latest announcement.
+        cache: Estimate of the prompt segments that it holds.
+        steps: Simulation of its steps.
         run_by_ticket: Requests that were placed there and have not ended.
-        streams_by_gap_ms: How many streams run there, by the longest pause that they allow.
+        streams_by_gap_ms: Number of streams there, by their longest allowed gap.
         is_present: Whether it may be used now.
     """
 
     def __init__(self, announcement: upstream_types.Announcement, memory_tokens: int) -> None:
-        """Start with an upstream that nothing was placed on."""
+        """Start with an upstream without runs."""
         self.announcement = announcement
         self.cache = prefix_cache.PrefixCache(memory_tokens)
         self.steps = step_window.StepWindow()
@@ -104,27 +104,28 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether it gets no further request: all slots are taken, or one tries it."""
+        """Return whether it gets no more requests now: no slot is free, or a probe runs there."""
         if self._is_probing and self._probe_ticket in self.run_by_ticket:
             return True
         return len(self.run_by_ticket) >= self.announcement.slots
 
     def set_memory(self, memory_tokens: int) -> None:
-        """Take another size of the engine's memory."""
+        """Change the size of the engine's memory."""
         self._memory_tokens = memory_tokens
         self.cache.set_memory(memory_tokens)
 
     def has_memory_for(self, tokens: int) -> bool:
-        """Return whether a request with so many tokens fits beside those that run there.
+        """Return whether a request with so many tokens fits beside the running ones.
 
-        Alone each is let through, and so is one without a prompt, which fills none.
+        A request that would run alone is always accepted, and so is one without a prompt, which
+        fills no memory.
         """
         if not self.run_by_ticket or not tokens:
             return True
         return self._running_tokens + tokens <= MEMORY_SHARE * self._memory_tokens
 
     def end_overdue(self, now: float) -> tuple[str, ...]:
-        """Take off the runs whose end was never reported; return their tickets."""
+        """End the runs whose end was never reported; return their tickets."""
         overdue = tuple(
             ticket_id
             for ticket_id, run in self.run_by_ticket.items()
@@ -135,7 +136,7 @@
         return overdue
 
     def is_gone(self, now: float) -> bool:
-        """Return whether it has been absent for long and nothing runs there; asked every second."""
+        """Return whether it has been absent for long without runs; called every second."""
         if self.is_present:
             self._absent_since = math.inf
             return False
@@ -143,11 +144,11 @@
         return not self.run_by_ticket and now - self._absent_since > ABSENT_RETENTION_S
 
     def is_backing_off(self, now: float) -> bool:
-        """Return whether it failed lately, or seems to stand still, and is given time."""
+        """Return whether it is in failure backoff, or seems stuck."""
         return now < self._backoff_until or self._is_stuck(now)
 
     def _is_stuck(self, now: float) -> bool:
-        """Return whether the prompt that is being read is far behind its time."""
+        """Return whether the current prefill is far behind its predicted time."""
         if not self._prefilling_by_ticket:
             return False
         first = next(iter(self._prefilling_by_ticket.values()))
@@ -155,42 +156,42 @@
         return now - self._prefill_since > allowed_s
 
     def has_tight_stream(self, tight_gap_ms: float) -> bool:
-        """Return whether a stream runs there that allows no pause above ``tight_gap_ms``."""
+        """Return whether a stream runs there that allows no gap above ``tight_gap_ms``."""
         return any(gap_ms <= tight_gap_ms for gap_ms in self.streams_by_gap_ms)
 
     def tight_stream_count(self, tight_gap_ms: float) -> int:
-        """Return how many streams run there that allow no pause above ``tight_gap_ms``."""
+        """Return the number of streams there that allow no gap above ``tight_gap_ms``."""
         streams = self.streams_by_gap_ms.items()
         return sum(count for gap_ms, count in streams if gap_ms <= tight_gap_ms)
 
     def backlog_ms(self, now: float) -> float:
-        """Return how much reading is ahead there, by the runs whose first event has not come.
+        """Return the prefill backlog: that of the runs whose first event has not been reported.
 
-        Of the prompt that is being read, no more than its own time is taken off however long ago
-        it began: an upstream that is slow, or stands still, is not thought to be free.
+        The current prefill is reduced by at most its own duration, however long ago it started, so
+        that an upstream that is slow or stuck does not seem free.
         """
         if not self._prefilling_by_ticket:
             return 0.0
-        unread = iter(self._prefilling_by_ticket.values())
-        first_ms = next(unread).prefill_ms
+        prefilling = iter(self._prefilling_by_ticket.values())
+        first_ms = next(prefilling).prefill_ms
         left_ms = max(0.0, first_ms - (now - self._prefill_since) * 1000.0)
-        return left_ms + sum(run.prefill_ms for run in unread)
+        return left_ms + sum(run.prefill_ms for run in prefilling)
 
     def concurrent_prefill_ms(self, now: float) -> float:
-        """Return how much reading one event of a stream there may hold before more is placed."""
+        """Return the prefill that one event of a stream there may include before more is placed."""
         return max(self.backlog_ms(now), self.steps.concurrent_prefill_ms(now))
 
     def cooldown_ms(self, now: float) -> float:
-        """Return for how long the streams there are to be left without long reading."""
+        """Return how long the streams there are still to run without long prefill."""
         return max(0.0, self._cooldown_until - now) * 1000.0
 
     def add(self, run: Run, now: float) -> None:
-        """Place a run."""
+        """Add a run."""
         self.run_by_ticket[run.request.ticket_id] = run
         self._probe_ticket = run.request.ticket_id
         self._running_tokens += run.memory_tokens
         self._count_stream(run, 1)
-        if not run.has_begun and run.prefill_ms > 0:
+        if not run.has_started and run.prefill_ms > 0:
             if not self._prefilling_by_ticket:
                 self._prefill_since = now
             self._prefilling_by_ticket[run.request.ticket_id] = run
@@ -199,29 +200,29 @@
             self.steps.add(run.prefill_ms, now)
         self.cache.add(run.request.parts)
 
-    def fetchable_tokens(self, parts: tuple[placement_messages.PromptSegment, ...]) -> int:
-        """Return how much of a prompt others can fetch there now: what was read to its end."""
-        cached = self.cache.cached_segments(parts)
+    def fetchable_tokens(self, segments: tuple[placement_messages.PromptSegment, ...]) -> int:
+        """Return the length of the prefix that others can fetch now: prefill of it has ended."""
+        cached = self.cache.cached_segments(segments)
         if not cached:
             return 0
-        unread = [
+        prefilling = [
             run.uncached_segments
             for run in self._prefilling_by_ticket.values()
             if run.uncached_segments
         ]
         tokens = 0
-        for part in cached:
-            if any(part.part_id in uncached_segments for uncached_segments in unread):
+        for segment in cached:
+            if any(segment.part_id in uncached_segments for uncached_segments in prefilling):
                 break
-            tokens += part.tokens
+            tokens += segment.tokens
         return tokens
 
     def record_first_event(self, ticket_id: str, cooldown_ms: float, now: float) -> Run | None:
-        """Note a run's first event; return the run if it is its first one."""
+        """Record a run's first event; return the run unless it had started before."""
         run = self.run_by_ticket.get(ticket_id)
-        if run is None or run.has_begun:
+        if run is None or run.has_started:
             return None
-        run.has_begun = True
+        run.has_started = True
         self._is_probing = False
         self._end_prefill(ticket_id, now)
         self._cooldown_until = max(self._cooldown_until, now + cooldown_ms / 1000.0)
@@ -232,7 +233,7 @@
             self._prefill_since = now
 
     def end(self, ticket_id: str, end: placement_messages.RunEnd, now: float) -> Run | None:
-        """Take a run off, and judge the upstream by how it ended; return it if it ran there."""
+        """Remove a run and record how it ended; return it if it ran there."""
         run = self.run_by_ticket.pop(ticket_id, None)
         if run is None:
             return None
@@ -250,8 +251,8 @@
                 if self._failures_in_a_row >= 3:
                     self._back_off(now)
             case placement_messages.RunEnd.BROKEN:
-                # Each entry host has connections to an upstream that crashed, and loses a request
-                # with each that it uses: 95 of a day with upstreams that crash by turns.
+                # Each entry host may hold several connections to a crashed upstream and loses one
+                # request per connection: 95 in one day in which upstreams crashed in turn.
                 self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate)
                 self._start_probe(now, backs_off=self._failures_in_a_row > 0)
             case placement_messages.RunEnd.UNREACHABLE:
@@ -262,14 +263,14 @@
         return run
 
     def _update_concurrent_prefill(self, now: float) -> None:
-        """Note for the streams there how much reading is ahead: it tells what their pauses hold."""
+        """Update the largest prefill backlog beside each running stream, which explains gaps."""
         backlog_ms = self.backlog_ms(now)
         for run in self.run_by_ticket.values():
-            if run.has_begun and run.max_concurrent_prefill_ms < backlog_ms:
+            if run.has_started and run.max_concurrent_prefill_ms < backlog_ms:
                 run.max_concurrent_prefill_ms = backlog_ms
 
     def _count_stream(self, run: Run, change: int) -> None:
-        """Keep the count by pauses: harm is reckoned for each upstream and each placement."""
+        """Update the number of streams by gap, which is read for each upstream and placement."""
         gap_ms = run.request.gap_ms
         if gap_ms <= 0:
             return
@@ -279,11 +280,12 @@
             del self.streams_by_gap_ms[gap_ms]
 
     def _start_probe(self, now: float, *, backs_off: bool) -> None:
-        """Try an upstream that lost a connection with one request before others follow.
+        """Probe an upstream that lost a connection with one request before others follow.
 
-        What waited during a pause would all be sent there when it ends, and be lost together. A
-        single lost answer is no reason for a pause: where one in twenty is lost, at three requests
-        a second each, pauses of half a second would take a fifteenth of the upstreams away.
+        Otherwise everything that was queued during a backoff would be sent there when it ends, and
+        be lost together. One lost response causes no backoff: where one in twenty is lost, at three
+        requests a second on each upstream, backoffs of half a second would make a fifteenth of the
+        upstreams unavailable.
         """
         self._failures_in_a_row += 1
         self._is_probing = True
@@ -292,5 +294,5 @@
             self._back_off(now)
 
     def _back_off(self, now: float) -> None:
-        pause_s = INITIAL_BACKOFF_S * 2.0 ** (self._failures_in_a_row - 1)
-        self._backoff_until = now + min(pause_s, MAX_BACKOFF_S)
+        backoff_s = INITIAL_BACKOFF_S * 2.0 ** (self._failures_in_a_row - 1)
+        self._backoff_until = now + min(backoff_s, MAX_BACKOFF_S)
--- a/src/medlarfork/placement/wait_forecast.py
+++ b/src/medlarfork/placement/wait_forecast.py
@@ -1,7 +1,7 @@
-"""Foresee how long a request that comes now would wait, by the reading ahead of it: pure.
+"""Predict how long a new request would wait, from the prefill queued before it. Pure.
 
-The load that this answers: more long prompts than the engines can read. Callers that would be
-answered too late to be of use are told so at once, while coming back later is still of use.
+It handles more long prompts than the engines can prefill. Callers whose answers would come too late
+to be of use are refused immediately, while a retry is still useful.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 
 class WaitForecast:
-    """Measure how fast those that wait are started, and divide what waits by it."""
+    """Divide the queued prefill by the measured drain rate."""
 
     def __init__(self, queue: wait_queue.WaitQueue) -> None:
-        """Start with nothing measured; ``queue`` holds the requests that wait."""
+        """Start without measurements; ``queue`` holds the queued requests."""
         self._queue = queue
         self._drain = drain_rate.DrainRate()
-        self._waits_since = math.inf
+        self._queued_since = math.inf
 
     def record_queue_start(self, now: float) -> None:
-        """Note that a request waits where none did."""
-        self._waits_since = now
+        """Record that a request is queued in an empty queue."""
+        self._queued_since = now
 
     def record_start(self, prefill_ms: float, now: float) -> None:
-        """Count the reading of a request that starts, in milliseconds."""
+        """Count the prefill time of a request that starts, in milliseconds."""
         self._drain.record_start(prefill_ms, now)
 
     def wait_ms(
@@ -36,31 +36,33 @@
         backlog_ms: float,
         now: float,
     ) -> float:
-        """Return how long a request that comes now would wait, in milliseconds.
+        """Return how long a new request would wait, in milliseconds.
 
-        That is what waits and goes before it, and then the engine that has least to read. If that
-        makes it late, all that waits goes before it.
+        It waits for the requests queued before it, and then for the engine with the smallest
+        backlog. If that makes it late, the entire queue goes before it.
 
         Args:
             waiting: The request.
-            unconstrained_engines: Engines without streams that reading makes late.
-            backlog_ms: The least reading ahead at an engine.
+            unconstrained_engines: Number of engines without streams that prefill makes late.
+            backlog_ms: Smallest prefill backlog of an engine, in milliseconds.
             now: The time in seconds.
         """
-        drained = self._drained_per_ms(unconstrained_engines, now)
+        drained_per_ms = self._drained_per_ms(unconstrained_engines, now)
         before_ms = self._queue.prefill_ms_before(waiting, now)
-        wait_ms = before_ms / drained + backlog_ms
+        wait_ms = before_ms / drained_per_ms + backlog_ms
         if wait_ms <= admission_policy.HOPELESS_SHARE * waiting.request.target_ms:
             return wait_ms
-        return admission_policy.OVERTAKEN_FACTOR * self._queue.prefill_ms / drained + backlog_ms
+        return (
+            admission_policy.OVERTAKEN_FACTOR * self._queue.prefill_ms / drained_per_ms + backlog_ms
+        )
 
     def _drained_per_ms(self, unconstrained_engines: int, now: float) -> float:
-        """Return how much reading of those that wait starts in a millisecond.
+        """Return how much queued prefill starts per millisecond, in milliseconds.
 
-        Once some have waited for as long as is measured, it is what was seen: slots and the
-        streams of others may hold it far below what the engines could read. Before, it is what
-        engines without tight streams can read.
+        Once the queue has existed for the length of the window, this is the measured rate: slots
+        and other streams may hold it far below what the engines could prefill. Before that, it is
+        what engines without tight streams can prefill.
         """
-        if self._queue and now - self._waits_since >= drain_rate.WINDOW_S:
+        if self._queue and now - self._queued_since >= drain_rate.WINDOW_S:
             return self._drain.per_ms(now)
         return admission_policy.PREFILL_SHARE * max(unconstrained_engines, 1)
--- a/src/medlarfork/placement/wait_queue.py
+++ b/src/medlarfork/placement/wait_queue.py
@@ -1,4 +1,4 @@
-"""Keep the requests that wait for an upstream, in the order in which they are to start."""
+"""Priority queue of the requests that wait for an upstream."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from medlarfork.placement import placement_messages
 
 ANSWER_LATENCY_MS = 100.0
-"""Time before its caller leaves at which a request that waits is refused, in milliseconds: the way
-of the answer, over two links."""
+"""How long before its caller leaves a queued request is refused, in milliseconds: the latency of
+the answer over two links."""
 
 SortKey = tuple[int, float, float, str]
-"""What waiting requests are sorted by."""
+"""Sort key of queued requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """Hold a request that waits.
+    """A queued request.
 
     Attributes:
-        entry_id: The entry host that asks for it.
-        request: What is to run.
-        queued_at: When it came, in seconds.
-        prefill_ms: Its reading on the engine that held most of its prompt when it came, in
+        entry_id: The entry host that sent it.
+        request: The placement request.
+        queued_at: When it arrived, in seconds.
+        prefill_ms: Its prefill on the engine that held its longest prefix on arrival, in
             milliseconds.
-        decode_ms: How long its answer takes after its first event, in milliseconds.
+        decode_ms: How long its answer takes after the first event, in milliseconds.
     """
 
     entry_id: str
@@ -36,26 +36,27 @@
 
     @property
     def deadline(self) -> float:
-        """Return when its caller gives up."""
+        """Return when its caller gives up, in seconds."""
         return self.queued_at + self.request.left_ms / 1000.0
 
     @property
     def answer_by(self) -> float:
-        """Return when it is to be answered if it has not begun: before its caller leaves.
+        """Return when it is answered at the latest if it has not started: before its caller leaves.
 
-        A caller that leaves is lost; one that is told when to come back does so.
+        A caller that leaves is lost; one that gets a retry delay comes back.
         """
-        answered_ms = max(0.0, self.request.max_wait_ms - ANSWER_LATENCY_MS)
-        return self.queued_at + answered_ms / 1000.0
+        wait_ms = max(0.0, self.request.max_wait_ms - ANSWER_LATENCY_MS)
+        return self.queued_at + wait_ms / 1000.0
 
     @property
     def latest_start(self) -> float:
-        """Return when it has to begin at the latest to be of use to its caller.
+        """Return the latest start, in seconds, that is still of use to its caller.
 
-        That is to end before its caller gives up, and to have an event before it leaves.
+        From it, the request ends before its caller gives up, and has an event before the caller
+        leaves.
         """
-        ends = self.deadline - (self.prefill_ms + self.decode_ms) / 1000.0
-        return min(ends, self.answer_by - self.prefill_ms / 1000.0)
+        latest_to_end = self.deadline - (self.prefill_ms + self.decode_ms) / 1000.0
+        return min(latest_to_end, self.answer_by - self.prefill_ms / 1000.0)
 
     def is_late(self, now: float) -> bool:
         """Return whether a request with a prompt has waited beyond its target."""
@@ -64,74 +65,76 @@
 
     @property
     def kind(self) -> tuple[int, float]:
-        """Return what requests with about the same prospects have in common."""
+        """Return the group of requests with about the same prospects."""
         return self.request.tier, self.request.target_ms
 
     @property
     def order(self) -> SortKey:
-        """Return what it is ordered by: its tier, then how soon it is expected, then its age.
+        """Return the sort key: tier, then target, then age.
 
-        By the moment it is expected at, overdue long prompts would go before every short one.
+        Sorted by due time instead, overdue long prompts would go before every short one.
         """
         request = self.request
         return request.tier, request.target_ms, self.queued_at, request.ticket_id
 
 
 class WaitQueue:
-    """Keep waiting requests sorted; pure."""
+    """Keep queued requests sorted. Pure: no I/O, no clock."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Start with an empty queue."""
         self._by_ticket: dict[str, WaitingRequest] = {}
         self._sorted: list[SortKey] = []
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return len(self._by_ticket)
 
     def __contains__(self, ticket_id: str) -> bool:
-        """Return whether a request waits."""
+        """Return whether a request is queued."""
         return ticket_id in self._by_ticket
 
     @property
     def prefill_ms(self) -> float:
-        """Return the reading of all that wait, in milliseconds."""
+        """Return the prefill of all queued requests, in milliseconds."""
         return sum(waiting.prefill_ms for waiting in self._by_ticket.values())
 
     def in_order(self, now: float) -> tuple[WaitingRequest, ...]:
-        """Return all that wait now, the first to start first.
+        """Return all queued requests, the first to start first.
 
-        Of one kind, those that are late already go last: they lose little by waiting on, and the
-        others would be late after them. Oldest first, an overload makes all of them late.
+        Within a kind, requests that are already late go last: they lose little by waiting longer,
+        and would make the others late. With the oldest first, an overload makes all of them late.
         """
         waiting = [self._by_ticket[order[-1]] for order in self._sorted]
         return tuple(sorted(waiting, key=lambda item: (item.kind, item.is_late(now))))
 
     def add(self, waiting: WaitingRequest) -> None:
-        """Let a request wait that does not wait yet."""
+        """Add a request that is not queued yet."""
         self._by_ticket[waiting.request.ticket_id] = waiting
         bisect.insort(self._sorted, waiting.order)
 
     def remove(self, ticket_id: str) -> None:
-        """Let a request wait no more; nothing happens if it does not wait."""
+        """Remove a request, if it is queued."""
         waiting = self._by_ticket.pop(ticket_id, None)
         if waiting is not None:
             del self._sorted[bisect.bisect_left(self._sorted, waiting.order)]
 
     def remove_entry(self, entry_id: str) -> None:
-        """Drop the requests of an entry host."""
+        """Remove the requests of an entry host."""
         for ticket_id, waiting in tuple(self._by_ticket.items()):
             if waiting.entry_id == entry_id:
                 self.remove(ticket_id)
 
     def count_before(self, waiting: WaitingRequest) -> int:
-        """Return how many start before one that comes now, if none of them is late."""
+        """Return how many requests start before a new one, if none of them is late."""
         return bisect.bisect_left(self._sorted, waiting.order)
 
     def prefill_ms_before(self, waiting: WaitingRequest, now: float) -> float:
-        """Return the reading of all that start before one that comes now, in milliseconds."""
+        """Return the prefill of all requests that start before a new one, in milliseconds."""
         orders = self._sorted[: bisect.bisect_left(self._sorted, waiting.order)]
-        before = (self._by_ticket[order[-1]] for order in orders)
+        earlier = (self._by_ticket[order[-1]] for order in orders)
         return sum(
-            item.prefill_ms for item in before if item.kind != waiting.kind or not item.is_late(now)
+            item.prefill_ms
+            for item in earlier
+            if item.kind != waiting.kind or not item.is_late(now)
         )
--- a/src/medlarfork/pool/__init__.py
+++ b/src/medlarfork/pool/__init__.py
@@ -1,1 +1,1 @@
-"""Pools of upstreams: one pool's owner decides who starts next, and where."""
+"""Scheduling of upstream pools: which queued request gets the next slot, and on which upstream."""
--- a/src/medlarfork/pool/_account_limiter.py
+++ b/src/medlarfork/pool/_account_limiter.py
@@ -1,4 +1,4 @@
-"""Enforce the limits of client accounts and keep their weights."""
+"""Enforce the concurrency and rate limits of client accounts, and look up their weights."""
 
 from __future__ import annotations
 
@@ -9,77 +9,83 @@
 from medlarfork.pool import _token_bucket
 
 _MIN_BURST = 1.0
-"""Requests that a bucket admits at once, however low its rate."""
+"""Smallest burst of a request bucket, so that a low rate still admits single requests."""
 _MIN_WEIGHT = 0.001
-"""Smallest weight, so that a share is never divided by nothing."""
+"""Lower bound of an account's weight; costs are divided by it."""
 _UNLIMITED = configuration.AccountLimits()
 
 
 class AccountLimiter:
-    """Admit tickets within their account's limits, divided over the service's pools."""
+    """Check tickets against their account's limits; each pool enforces an equal part of a limit."""
 
     def __init__(self) -> None:
-        """Create limits for no account."""
+        """Start with no accounts and no limits."""
         self._account_by_name: dict[str, configuration.Account] = {}
         self._shards = 1
         self._outstanding_by_account: dict[str, int] = {}
-        self._requests_by_account: dict[str, _token_bucket.TokenBucket] = {}
-        self._tokens_by_account: dict[str, _token_bucket.TokenBucket] = {}
+        self._request_bucket_by_account: dict[str, _token_bucket.TokenBucket] = {}
+        self._token_bucket_by_account: dict[str, _token_bucket.TokenBucket] = {}
 
     def configure(self, accounts: Iterable[configuration.Account], shards: int, now: float) -> None:
-        """Put accounts in force; buckets whose rate is unchanged keep their level."""
+        """Replace the accounts; token buckets whose rate is unchanged keep their level."""
         self._account_by_name = {account.name: account for account in accounts}
         self._shards = max(1, shards)
         for buckets, rates in (
-            (self._requests_by_account, self._request_rates()),
-            (self._tokens_by_account, self._token_rates()),
+            (self._request_bucket_by_account, self._request_rates()),
+            (self._token_bucket_by_account, self._token_rates()),
         ):
             for name in tuple(buckets):
                 if name not in rates:
                     del buckets[name]
             for name, (per_s, burst) in rates.items():
-                kept = buckets.get(name)
-                if kept is None or kept.per_s != per_s:
+                current = buckets.get(name)
+                if current is None or current.per_s != per_s:
                     buckets[name] = _token_bucket.TokenBucket(per_s, burst, now)
 
     def weight(self, account: str) -> float:
-        """Return the account's share among accounts of a tier."""
-        known = self._account_by_name.get(account)
-        return 1.0 if known is None else max(known.weight, _MIN_WEIGHT)
+        """Return the account's weight in fair queueing within a tier."""
+        declared = self._account_by_name.get(account)
+        return 1.0 if declared is None else max(declared.weight, _MIN_WEIGHT)
 
     def wait_s(self, account: str, now: float, slot_s: float) -> float:
-        """Return 0 if the account may have one more ticket, else when to try again."""
+        """Return 0 if the account may have one more ticket, else the time until a retry in seconds.
+
+        ``slot_s`` is the mean time that such a ticket holds a slot.
+        """
         concurrent = self._limits(account).concurrent
         if concurrent is not None:
-            bound = max(1, math.ceil(concurrent / self._shards)) if concurrent > 0 else 0
-            if self._outstanding_by_account.get(account, 0) >= bound:
-                return max(slot_s / max(1, bound), 0.1)
+            max_concurrent = max(1, math.ceil(concurrent / self._shards)) if concurrent > 0 else 0
+            if self._outstanding_by_account.get(account, 0) >= max_concurrent:
+                return max(slot_s / max(1, max_concurrent), 0.1)
         waits = [0.0]
-        if (requests := self._requests_by_account.get(account)) is not None:
-            waits.append(requests.wait_s(now, 1.0))
-        if (tokens := self._tokens_by_account.get(account)) is not None:
-            waits.append(tokens.wait_s(now, 1.0))
+        if (bucket := self._request_bucket_by_account.get(account)) is not None:
+            waits.append(bucket.wait_s(now, 1.0))
+        if (bucket := self._token_bucket_by_account.get(account)) is not None:
+            waits.append(bucket.wait_s(now, 1.0))
         return max(waits)
 
-    def admitted(self, account: str, *, counted: bool) -> None:
-        """Count an outstanding ticket; a resumed one was charged for its request before."""
+    def record_admission(self, account: str, *, charge_request: bool) -> None:
+        """Count a ticket as outstanding.
+
+        ``charge_request`` is False for a resumed ticket: its request has been charged already.
+        """
         self._outstanding_by_account[account] = self._outstanding_by_account.get(account, 0) + 1
-        if counted and (requests := self._requests_by_account.get(account)) is not None:
-            requests.take(1.0)
-
-    def ended(self, account: str, tokens: int) -> None:
-        """Count a ticket out and charge the tokens that it received."""
-        left = self._outstanding_by_account.get(account, 0) - 1
-        if left > 0:
-            self._outstanding_by_account[account] = left
+        if charge_request and (bucket := self._request_bucket_by_account.get(account)) is not None:
+            bucket.consume(1.0)
+
+    def record_end(self, account: str, tokens: int) -> None:
+        """Remove a ticket from the outstanding count and charge the output tokens it received."""
+        remaining = self._outstanding_by_account.get(account, 0) - 1
+        if remaining > 0:
+            self._outstanding_by_account[account] = remaining
         else:
             self._outstanding_by_account.pop(account, None)
-        if (bucket := self._tokens_by_account.get(account)) is not None:
-            bucket.take(tokens)
+        if (bucket := self._token_bucket_by_account.get(account)) is not None:
+            bucket.consume(tokens)
 
     def _limits(self, account: str) -> configuration.AccountLimits:
-        known = self._account_by_name.get(account)
-        return _UNLIMITED if known is None else known.limits
+        declared = self._account_by_name.get(account)
+        return _UNLIMITED if declared is None else declared.limits
 
     def _request_rates(self) -> dict[str, tuple[float, float]]:
         rates = {}
--- a/src/medlarfork/pool/_granter.py
+++ b/src/medlarfork/pool/_granter.py
@@ -1,86 +1,94 @@
-"""Start queued tickets: choose the tier, the ticket and the upstream."""
+"""Granting of free slots: choose the tier, the ticket and the upstream."""
 
 from __future__ import annotations
 
 from medlarfork import ticket
 from medlarfork.pool import _pool_state, _pool_ticket, _timers, pool_options
 
-_MAX_ASIDE = 4
-"""Tickets set aside at once because only upstreams that they avoid are free."""
+_MAX_SKIPPED = 4
+"""Tickets skipped in one pass because only upstreams that they avoid have free slots."""
 
 
 class Granter:
-    """Turn free slots into grants."""
+    """Grant free slots to queued tickets."""
 
     def __init__(
-        self, pool: str, options: pool_options.PoolOptions, parts: _pool_state.PoolState
+        self, pool: str, options: pool_options.PoolOptions, state: _pool_state.PoolState
     ) -> None:
-        """Create the starter of a pool."""
+        """Create the granter of a pool.
+
+        Args:
+            pool: Pool name, as ``SERVICE/SHARD``.
+            options: Rules and constants.
+            state: The pool's state, which grants update.
+        """
         self._pool = pool
         self._options = options
-        self._parts = parts
+        self._state = state
 
-    def start(self, now: float) -> list[ticket.Grant]:
-        """Start queued tickets for as long as slots are free for them."""
+    def grant_queued(self, now: float) -> list[ticket.Grant]:
+        """Grant slots to queued tickets until no slot is free for them."""
         grants: list[ticket.Grant] = []
-        aside: list[_pool_ticket.QueuedTicket] = []
-        while self._parts.upstreams.free > 0 and len(aside) < _MAX_ASIDE:
+        skipped: list[_pool_ticket.QueuedTicket] = []
+        while self._state.upstreams.free > 0 and len(skipped) < _MAX_SKIPPED:
             tier, by_floor = self._next_tier(now)
             if tier is None:
                 break
-            entry = self._parts.queues.pop(tier, now, self._cost)
-            grant = self._start(entry, by_floor, now)
+            queued = self._state.queues.pop(tier, now, self._account_cost)
+            grant = self._grant(queued, by_floor, now)
             if grant is None:
-                aside.append(entry)
+                skipped.append(queued)
             else:
                 grants.append(grant)
-        for entry in aside:
-            self._parts.queues.put_back(entry)
+        for queued in skipped:
+            self._state.queues.requeue(queued)
         return grants
 
     def _next_tier(self, now: float) -> tuple[int | None, bool]:
-        top = self._parts.queues.top_tier()
+        top = self._state.queues.top_tier()
         if top is None:
             return None, False
         if self._options.floors:
-            running = self._parts.running.count_by_tier
-            owed = self._parts.floor.entitled(running, self._parts.queues.count_by_tier)
-            if owed is not None:
-                return owed, owed != top
-        if self._parts.upstreams.free <= self.withheld(top, now):
+            running = self._state.running.count_by_tier
+            entitled = self._state.floor.most_entitled_tier(
+                running, self._state.queues.count_by_tier
+            )
+            if entitled is not None:
+                return entitled, entitled != top
+        if self._state.upstreams.free <= self.withheld(top, now):
             return None, False
         return top, False
 
     def withheld(self, tier: int, now: float) -> int:
-        """Return how many free slots a tier must leave to those above it."""
-        if not self._options.withhold or self._parts.reserve.is_top(tier):
+        """Return how many free slots a tier must leave to the tiers above it."""
+        if not self._options.withhold or self._state.reserve.is_highest_seen(tier):
             return 0
-        return self._parts.reserve.withheld(
+        return self._state.reserve.withheld(
             tier,
-            self._parts.upstreams.slots,
-            self._parts.running.count_by_tier,
-            self._parts.outlook.freed_per_s(now),
+            self._state.upstreams.slots,
+            self._state.running.count_by_tier,
+            self._state.forecast.freed_per_s(now),
             now,
         )
 
-    def _cost(self, item: ticket.Ticket) -> float:
-        slot_s = self._parts.outlook.slot_s(item) if self._options.charge_time else 1.0
-        return slot_s / self._parts.accounts.weight(item.account)
+    def _account_cost(self, item: ticket.Ticket) -> float:
+        slot_s = self._state.forecast.mean_slot_s(item) if self._options.charge_time else 1.0
+        return slot_s / self._state.accounts.weight(item.account)
 
-    def _start(
-        self, entry: _pool_ticket.QueuedTicket, by_floor: bool, now: float
+    def _grant(
+        self, queued: _pool_ticket.QueuedTicket, by_floor: bool, now: float
     ) -> ticket.Grant | None:
-        item = entry.ticket
-        avoid = self._parts.stall.avoid(item)
-        chosen = self._parts.upstreams.choose(item, avoid)
+        item = queued.ticket
+        avoid = self._state.failover.avoided_upstreams(item)
+        chosen = self._state.upstreams.choose(item, avoid)
         if chosen is None:
-            if self._parts.upstreams.other_usable(avoid):
+            if self._state.upstreams.has_usable_besides(avoid):
                 return None
-            chosen = self._parts.upstreams.choose(item, ())
+            chosen = self._state.upstreams.choose(item, ())
         if chosen is None:
             return None
         announcement = chosen.announcement
-        running = self.run(item, announcement.upstream_id, now, entry.expires_at, now)
+        running = self.add_running(item, announcement.upstream_id, now, queued.expires_at, now)
         running.by_floor = by_floor
         running.grant = ticket.Grant(
             ticket_id=item.ticket_id,
@@ -89,17 +97,17 @@
             upstream_id=announcement.upstream_id,
             address=announcement.address,
         )
-        self._parts.preemption.add(running)
-        self._parts.upstreams.prefixes.hint(item.prefix, announcement.upstream_id)
+        self._state.preemption.add(running)
+        self._state.upstreams.prefixes.record_holder(item.prefix, announcement.upstream_id)
         return running.grant
 
-    def run(
+    def add_running(
         self, item: ticket.Ticket, upstream_id: str, started: float, expires_at: float, now: float
     ) -> _pool_ticket.RunningTicket:
-        """Count a ticket as running, and see to it that its slot comes back some day."""
-        taken_back_at = expires_at + self._options.release_grace_s
-        running = _pool_ticket.RunningTicket(item, upstream_id, started, taken_back_at)
-        running.number = self._parts.upstreams.start(upstream_id, started, now)
-        self._parts.running.add(running)
-        self._parts.timers.add(taken_back_at, _timers.Kind.EXPIRE, running)
+        """Add a running ticket, and set the timer that reclaims its slot if it isn't released."""
+        reclaim_at = expires_at + self._options.release_grace_s
+        running = _pool_ticket.RunningTicket(item, upstream_id, started, reclaim_at)
+        running.upstream_generation = self._state.upstreams.add_running(upstream_id, started, now)
+        self._state.running.add(running)
+        self._state.timers.add(reclaim_at, _timers.Kind.EXPIRE, running)
         return running
--- a/src/medlarfork/pool/_pool_state.py
+++ b/src/medlarfork/pool/_pool_state.py
@@ -1,4 +1,4 @@
-"""Build the parts that the classes of a pool share."""
+"""The state that the classes of a pool share."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class PoolState:
-    """Hold the state of one pool; each part keeps its own invariants."""
+    """Hold the components of one pool; each maintains its own invariants."""
 
     def __init__(self, options: pool_options.PoolOptions, generator: random.Random) -> None:
-        """Create empty parts."""
+        """Create empty components."""
         self.queues = _queue_set.QueueSet(late_last=options.late_last)
         self.running = _running_set.RunningSet()
         self.upstreams = _upstream_set.UpstreamSet(options)
         self.accounts = _account_limiter.AccountLimiter()
         self.floor = _floor.Floor()
         self.reserve = _reserve.Reserve(options.withhold_deviations, options.withhold_max_share)
-        self.outlook = _wait_forecast.WaitForecast(options, generator)
+        self.forecast = _wait_forecast.WaitForecast(options, generator)
         self.preemption = _preemption.Preemption(options)
-        self.stall = _failover.Failover(options)
+        self.failover = _failover.Failover(options)
         self.timers = _timers.Timers()
-        self.crashes = _crash_guard.CrashGuard()
+        self.crash_guard = _crash_guard.CrashGuard()
--- a/src/medlarfork/pool/_prefix_index.py
+++ b/src/medlarfork/pool/_prefix_index.py
@@ -1,4 +1,7 @@
-"""Remember which upstreams hold which prompt prefix; a hint, since cache events lag and skip."""
+"""Index of the upstreams that cache each prompt prefix.
+
+It is a hint only: cache events arrive late and may be lost.
+"""
 
 from __future__ import annotations
 
@@ -7,26 +10,26 @@
 from medlarfork import upstream
 
 _MAX_PREFIXES = 20_000
-"""Prefixes remembered; the one unused for longest goes first."""
+"""Prefixes kept; the least recently recorded one is evicted first."""
 _MAX_HOLDERS = 4
-"""Upstreams remembered for each prefix; the latest stay."""
+"""Upstreams kept for each prefix, the most recent ones."""
 
 
 class PrefixIndex:
-    """Map prefixes to the upstreams that hold them."""
+    """Map prompt prefixes to the upstreams that cache them."""
 
     def __init__(self) -> None:
         """Create an empty index."""
         self._holders_by_prefix: collections.OrderedDict[str, tuple[str, ...]]
         self._holders_by_prefix = collections.OrderedDict()
-        self._number_by_upstream: dict[str, int] = {}
+        self._last_event_by_upstream: dict[str, int] = {}
 
     def holders(self, prefix: str) -> tuple[str, ...]:
-        """Return upstreams likely to hold a prefix, the latest first."""
+        """Return the upstreams likely to cache a prefix, the most recent first."""
         return self._holders_by_prefix.get(prefix, ())
 
-    def hint(self, prefix: str, upstream_id: str) -> None:
-        """Note that a request with the prefix was granted to an upstream."""
+    def record_holder(self, prefix: str, upstream_id: str) -> None:
+        """Record that an upstream caches a prefix or was granted a request with it."""
         if not prefix:
             return
         others = tuple(held for held in self.holders(prefix) if held != upstream_id)
@@ -36,26 +39,26 @@
             self._holders_by_prefix.popitem(last=False)
 
     def apply(self, upstream_id: str, events: tuple[upstream.CacheEvent, ...]) -> None:
-        """Apply cache events; repeated and overtaken ones are ignored, gaps are lived with."""
-        newest = self._number_by_upstream.get(upstream_id, -1)
+        """Apply cache events; repeated and out-of-order ones are ignored, gaps are tolerated."""
+        newest = self._last_event_by_upstream.get(upstream_id, -1)
         for event in events:
             if event.number <= newest:
                 continue
             newest = event.number
             match event.change:
                 case upstream.CacheChange.STORED:
-                    self.hint(event.prefix, upstream_id)
+                    self.record_holder(event.prefix, upstream_id)
                 case upstream.CacheChange.EVICTED:
-                    self._drop(event.prefix, upstream_id)
-        self._number_by_upstream[upstream_id] = newest
+                    self._remove_holder(event.prefix, upstream_id)
+        self._last_event_by_upstream[upstream_id] = newest
 
-    def forget(self, upstream_id: str) -> None:
-        """Forget an upstream's event number; its hints lapse when they are next looked up."""
-        self._number_by_upstream.pop(upstream_id, None)
+    def remove_upstream(self, upstream_id: str) -> None:
+        """Remove an upstream's event number; callers ignore prefix entries of unknown upstreams."""
+        self._last_event_by_upstream.pop(upstream_id, None)
 
-    def _drop(self, prefix: str, upstream_id: str) -> None:
-        left = tuple(held for held in self.holders(prefix) if held != upstream_id)
-        if left:
-            self._holders_by_prefix[prefix] = left
+    def _remove_holder(self, prefix: str, upstream_id: str) -> None:
+        remaining = tuple(held for held in self.holders(prefix) if held != upstream_id)
+        if remaining:
+            self._holders_by_prefix[prefix] = remaining
         else:
             self._holders_by_prefix.pop(prefix, None)
--- a/src/medlarfork/pool/_queue_set.py
+++ b/src/medlarfork/pool/_queue_set.py
@@ -1,4 +1,4 @@
-"""Hold all queued tickets of a pool, by tier, by id and by entry host."""
+"""All queued tickets of a pool."""
 
 from __future__ import annotations
 
@@ -6,57 +6,57 @@
 
 
 class QueueSet:
-    """Index the queued tickets."""
+    """Index the queued tickets by tier, id and entry host."""
 
     def __init__(self, *, late_last: bool) -> None:
-        """Create an empty set."""
+        """Start empty; ``late_last`` is passed to each ``TierQueue``."""
         self._late_last = late_last
         self._queue_by_tier: dict[int, _tier_queue.TierQueue] = {}
-        self._entry_by_id: dict[str, _pool_ticket.QueuedTicket] = {}
+        self._queued_by_id: dict[str, _pool_ticket.QueuedTicket] = {}
         self._ids_by_entry: dict[str, set[str]] = {}
         self.count_by_tier: dict[int, int] = {}
         self.urgent_by_tier: dict[int, int] = {}
 
     def __len__(self) -> int:
         """Return the number of queued tickets."""
-        return len(self._entry_by_id)
+        return len(self._queued_by_id)
 
     def get(self, ticket_id: str) -> _pool_ticket.QueuedTicket | None:
         """Return a queued ticket by id."""
-        return self._entry_by_id.get(ticket_id)
+        return self._queued_by_id.get(ticket_id)
 
-    def push(self, entry: _pool_ticket.QueuedTicket, *, at_head: bool) -> None:
+    def push(self, queued: _pool_ticket.QueuedTicket, *, at_head: bool) -> None:
         """Queue a ticket in its tier."""
-        item = entry.ticket
+        item = queued.ticket
         queue = self._queue_by_tier.get(item.tier)
         if queue is None:
             queue = _tier_queue.TierQueue(late_last=self._late_last)
             self._queue_by_tier[item.tier] = queue
-        entry.live = True
-        queue.push(entry, at_head=at_head)
-        self._index(entry)
+        queued.live = True
+        queue.push(queued, at_head=at_head)
+        self._index(queued)
 
     def pop(self, tier: int, now: float, cost_of: _tier_queue.CostOf) -> _pool_ticket.QueuedTicket:
-        """Take the ticket of a tier that starts next; the tier must have one."""
-        entry = self._queue_by_tier[tier].pop(now, cost_of)
-        self._unindex(entry)
-        return entry
-
-    def put_back(self, entry: _pool_ticket.QueuedTicket) -> None:
-        """Queue a ticket again that was popped but could not be placed."""
-        self.push(entry, at_head=True)
-        self.set_urgent(entry, entry.was_urgent)
-
-    def remove(self, entry: _pool_ticket.QueuedTicket) -> None:
-        """Take a ticket out."""
-        self._queue_by_tier[entry.ticket.tier].remove(entry)
-        self._unindex(entry)
-
-    def set_urgent(self, entry: _pool_ticket.QueuedTicket, urgent: bool) -> None:
-        """Note that a queued ticket needs a slot now to meet its target, or can't any more."""
-        if entry.urgent != urgent:
-            tier = entry.ticket.tier
-            entry.urgent = urgent
+        """Remove and return the ticket of a tier that starts next; the tier must have one."""
+        queued = self._queue_by_tier[tier].pop(now, cost_of)
+        self._unindex(queued)
+        return queued
+
+    def requeue(self, queued: _pool_ticket.QueuedTicket) -> None:
+        """Put a popped ticket back at the head of its tier, because it could not be started."""
+        self.push(queued, at_head=True)
+        self.set_urgent(queued, queued.was_urgent)
+
+    def remove(self, queued: _pool_ticket.QueuedTicket) -> None:
+        """Remove a ticket."""
+        self._queue_by_tier[queued.ticket.tier].remove(queued)
+        self._unindex(queued)
+
+    def set_urgent(self, queued: _pool_ticket.QueuedTicket, urgent: bool) -> None:
+        """Set whether a queued ticket needs a slot now to meet its target."""
+        if queued.urgent != urgent:
+            tier = queued.ticket.tier
+            queued.urgent = urgent
             change = 1 if urgent else -1
             self.urgent_by_tier[tier] = self.urgent_by_tier.get(tier, 0) + change
 
@@ -64,37 +64,37 @@
         """Return the highest tier that has tickets queued."""
         return min(self.count_by_tier, default=None)
 
-    def newest_of_lowest(self) -> _pool_ticket.QueuedTicket | None:
-        """Return the ticket to shed first."""
+    def next_to_shed(self) -> _pool_ticket.QueuedTicket | None:
+        """Return the ticket to shed first: the newest of the lowest tier."""
         if not self.count_by_tier:
             return None
         return self._queue_by_tier[max(self.count_by_tier)].newest()
 
-    def up_to_tier(self, tier: int) -> int:
-        """Return how many tickets of a tier and those above it are queued."""
+    def count_up_to_tier(self, tier: int) -> int:
+        """Return how many tickets of a tier and the tiers above it are queued."""
         return sum(count for other, count in self.count_by_tier.items() if other <= tier)
 
     def of_entry(self, entry_id: str) -> tuple[_pool_ticket.QueuedTicket, ...]:
         """Return an entry host's queued tickets."""
         ids = sorted(self._ids_by_entry.get(entry_id, ()))
-        return tuple(self._entry_by_id[ticket_id] for ticket_id in ids)
+        return tuple(self._queued_by_id[ticket_id] for ticket_id in ids)
 
-    def _index(self, entry: _pool_ticket.QueuedTicket) -> None:
-        item = entry.ticket
-        self._entry_by_id[item.ticket_id] = entry
+    def _index(self, queued: _pool_ticket.QueuedTicket) -> None:
+        item = queued.ticket
+        self._queued_by_id[item.ticket_id] = queued
         self._ids_by_entry.setdefault(item.entry_id, set()).add(item.ticket_id)
         self.count_by_tier[item.tier] = self.count_by_tier.get(item.tier, 0) + 1
 
-    def _unindex(self, entry: _pool_ticket.QueuedTicket) -> None:
-        item = entry.ticket
-        entry.was_urgent = entry.urgent
-        self.set_urgent(entry, False)
-        del self._entry_by_id[item.ticket_id]
+    def _unindex(self, queued: _pool_ticket.QueuedTicket) -> None:
+        item = queued.ticket
+        queued.was_urgent = queued.urgent
+        self.set_urgent(queued, False)
+        del self._queued_by_id[item.ticket_id]
         ids = self._ids_by_entry[item.entry_id]
         ids.discard(item.ticket_id)
         if not ids:
             del self._ids_by_entry[item.entry_id]
         self.count_by_tier[item.tier] -= 1
         if not self.count_by_tier[item.tier]:
-            # An empty tier keeps its queue, for the accounts' shares; tiers are few.
+            # The empty queue is kept for its accounts' virtual times; there are only a few tiers.
             del self.count_by_tier[item.tier]
--- a/src/medlarfork/pool/_rate_meter.py
+++ b/src/medlarfork/pool/_rate_meter.py
@@ -1,4 +1,4 @@
-"""Measure the rate of something that happens now and then, over the last seconds."""
+"""An event rate with exponential decay."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RateMeter:
-    """Count events with exponential forgetting; constant memory."""
+    """Measure the rate of events over a recent window, in constant memory."""
 
     __slots__ = ("_count", "_first", "_last", "_window_s")
 
     def __init__(self, window_s: float) -> None:
-        """Create a counter that forgets over about ``window_s`` seconds."""
+        """Create a meter whose events decay with time constant ``window_s``, in seconds."""
         self._window_s = window_s
         self._count = 0.0
         self._first: float | None = None
@@ -25,7 +25,7 @@
         self._last = now
 
     def per_s(self, now: float) -> float:
-        """Return the rate a second; a young counter divides by its age, not its window."""
+        """Return the rate per second; a meter younger than its window divides by its age."""
         if self._first is None:
             return 0.0
         age = max(now - self._first, self._window_s / 10)
--- a/src/medlarfork/pool/_running_set.py
+++ b/src/medlarfork/pool/_running_set.py
@@ -1,4 +1,4 @@
-"""Hold all granted tickets of a pool until they are released."""
+"""All granted tickets of a pool that are not yet released."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Index the running tickets by id, tier, entry host and upstream."""
 
     def __init__(self) -> None:
-        """Create an empty set."""
+        """Start empty."""
         self._running_by_id: dict[str, _pool_ticket.RunningTicket] = {}
         self._ids_by_entry: dict[str, set[str]] = {}
         self._ids_by_upstream: dict[str, set[str]] = {}
@@ -32,7 +32,7 @@
         self.count_by_tier[item.tier] = self.count_by_tier.get(item.tier, 0) + 1
 
     def pop(self, ticket_id: str) -> _pool_ticket.RunningTicket | None:
-        """Take a ticket out, if it runs."""
+        """Remove and return a ticket; None if it does not run."""
         running = self._running_by_id.pop(ticket_id, None)
         if running is None:
             return None
@@ -51,7 +51,7 @@
         return tuple(self._running_by_id[ticket_id] for ticket_id in ids)
 
     def at_upstream(self, upstream_id: str) -> tuple[_pool_ticket.RunningTicket, ...]:
-        """Return the tickets that run at an upstream, also those of its earlier incarnations."""
+        """Return the tickets that run at an upstream, including its earlier incarnations."""
         ids = sorted(self._ids_by_upstream.get(upstream_id, ()))
         return tuple(self._running_by_id[ticket_id] for ticket_id in ids)
 
--- a/src/medlarfork/pool/_tier_queue.py
+++ b/src/medlarfork/pool/_tier_queue.py
@@ -1,4 +1,4 @@
-"""Queue one tier's tickets: fair between accounts, ordered within each account."""
+"""Queue of one tier: weighted fair queueing between accounts, ordered within each account."""
 
 from __future__ import annotations
 
@@ -10,193 +10,197 @@
 from medlarfork.pool import _pool_ticket
 
 CostOf = Callable[[ticket.Ticket], float]
-"""Return what a ticket costs its account: its slot time divided by the account's weight."""
+"""Return a ticket's cost to its account: its slot time divided by the account's weight."""
 
-_SLACK = 64
-"""Withdrawn entries that a heap may hold beyond its live ones before it is rebuilt."""
-_MAX_IDLE_ACCOUNTS = 1024
-"""Accounts without queued tickets whose past use is remembered."""
+_MAX_STALE = 64
+"""Stale entries that a heap may hold before it is rebuilt, besides one for each queued ticket."""
+_MAX_ACCOUNTS = 1024
+"""Accounts whose virtual finish times are kept before those already passed are dropped."""
 
 _Item = tuple[float, int, _pool_ticket.QueuedTicket]
-"""Key, a number that settles ties, and the ticket."""
-_Place = tuple[float, float, int, str]
-"""An account's virtual time, the key and number of its first ticket, and its name."""
+"""Sort key, sequence number as tie-breaker, and the ticket."""
+_Position = tuple[float, float, int, str]
+"""An account's start tag, the sort key and sequence number of its first ticket, and its name."""
 
 
-class _FairClock:
-    """Keep each account's virtual time: its use of the tier divided by its weight."""
+class _VirtualClock:
+    """Virtual time of the accounts: an account's use of the tier divided by its weight."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._finish_by_account: dict[str, float] = {}
 
-    def tag(self, account: str) -> float:
-        """Return when the account's next ticket starts in virtual time."""
+    def start_tag(self, account: str) -> float:
+        """Return the virtual time at which the account's next ticket starts."""
         return max(self.now, self._finish_by_account.get(account, 0.0))
 
     def charge(self, account: str, cost: float) -> None:
-        """Count a start; an account that was idle gains nothing from its idle time."""
-        start = self.tag(account)
-        self.now = max(self.now, start)
-        self._finish_by_account[account] = start + cost
-        if len(self._finish_by_account) > _MAX_IDLE_ACCOUNTS:
-            self._forget_idle()
-
-    def _forget_idle(self) -> None:
-        ahead = {name: tag for name, tag in self._finish_by_account.items() if tag > self.now}
+        """Charge an account for a started ticket; idle time earns it no credit."""
+        tag = self.start_tag(account)
+        self.now = max(self.now, tag)
+        self._finish_by_account[account] = tag + cost
+        if len(self._finish_by_account) > _MAX_ACCOUNTS:
+            self._evict_past()
+
+    def _evict_past(self) -> None:
+        ahead = {
+            account: finish
+            for account, finish in self._finish_by_account.items()
+            if finish > self.now
+        }
         self._finish_by_account = ahead
 
 
-class _FairLane:
-    """Hold queued tickets in one heap per account, and the accounts by virtual time.
+class _FairQueue:
+    """Fair queue of one heap per account, with a heap of the accounts by virtual time.
 
-    Accounts of equal virtual time go by their first tickets. An account's place is looked up
-    again when it is reached, since its virtual time or first ticket may have changed meanwhile.
+    Accounts of equal virtual time are ordered by their first tickets. An account's position is
+    checked when it is popped, because its virtual time or first ticket may have changed since.
     """
 
-    def __init__(self, clock: _FairClock) -> None:
+    def __init__(self, clock: _VirtualClock) -> None:
         self._clock = clock
         self._heap_by_account: dict[str, list[_Item]] = {}
-        self._place_by_account: dict[str, _Place] = {}
-        self._places: list[_Place] = []
-        self._number = itertools.count()
+        self._position_by_account: dict[str, _Position] = {}
+        self._account_heap: list[_Position] = []
+        self._sequence = itertools.count()
 
-    def push(self, entry: _pool_ticket.QueuedTicket, key: float) -> None:
+    def push(self, queued: _pool_ticket.QueuedTicket, key: float) -> None:
         """Add a ticket to its account; the lowest key starts first."""
-        account = entry.ticket.account
+        account = queued.ticket.account
         heap = self._heap_by_account.setdefault(account, [])
-        item = (key, next(self._number), entry)
+        item = (key, next(self._sequence), queued)
         heapq.heappush(heap, item)
         if heap[0] is item:
-            self._place(account)
+            self._update_position(account)
 
     def pop(self) -> _pool_ticket.QueuedTicket | None:
-        """Take the first live ticket of the account that has used least."""
-        while self._places:
-            place = heapq.heappop(self._places)
-            account = place[3]
-            if self._place_by_account.get(account) is not place:
+        """Remove and return the first queued ticket of the account with the lowest start tag."""
+        while self._account_heap:
+            position = heapq.heappop(self._account_heap)
+            account = position[3]
+            if self._position_by_account.get(account) is not position:
                 continue
-            current = self._current_place(account)
+            current = self._current_position(account)
             if current is None:
                 self._remove_account(account)
-            elif current != place:
-                self._place(account)
+            elif current != position:
+                self._update_position(account)
             else:
-                return self._take_first(account)
+                return self._pop_first(account)
         return None
 
     def rebuild(self) -> None:
-        """Drop tickets that are not queued any more."""
+        """Drop the entries of tickets that are no longer queued."""
         heaps = self._heap_by_account
         self._heap_by_account = {}
-        self._place_by_account = {}
-        self._places = []
+        self._position_by_account = {}
+        self._account_heap = []
         for account, heap in heaps.items():
             live = [item for item in heap if item[2].live]
             if live:
                 heapq.heapify(live)
                 self._heap_by_account[account] = live
-                self._place(account)
+                self._update_position(account)
 
-    def _take_first(self, account: str) -> _pool_ticket.QueuedTicket:
+    def _pop_first(self, account: str) -> _pool_ticket.QueuedTicket:
         heap = self._heap_by_account[account]
-        entry = heapq.heappop(heap)[2]
+        queued = heapq.heappop(heap)[2]
         if heap:
-            self._place(account)
+            self._update_position(account)
         else:
             self._remove_account(account)
-        return entry
+        return queued
 
-    def _place(self, account: str) -> None:
-        place = self._current_place(account)
-        if place is None:
+    def _update_position(self, account: str) -> None:
+        position = self._current_position(account)
+        if position is None:
             self._remove_account(account)
             return
-        self._place_by_account[account] = place
-        heapq.heappush(self._places, place)
+        self._position_by_account[account] = position
+        heapq.heappush(self._account_heap, position)
 
-    def _current_place(self, account: str) -> _Place | None:
+    def _current_position(self, account: str) -> _Position | None:
         heap = self._heap_by_account[account]
         while heap and not heap[0][2].live:
             heapq.heappop(heap)
-        return (self._clock.tag(account), *heap[0][:2], account) if heap else None
+        return (self._clock.start_tag(account), *heap[0][:2], account) if heap else None
 
     def _remove_account(self, account: str) -> None:
         del self._heap_by_account[account]
-        self._place_by_account.pop(account, None)
+        self._position_by_account.pop(account, None)
 
 
 class TierQueue:
     """Queue the tickets of one tier.
 
-    Resumed tickets come first, by arrival. Then come those that can still meet their target,
-    and last those that must miss it.
+    Resumed tickets come first, by arrival, then those that can still meet their target. With
+    ``late_last``, tickets that can no longer meet it come last, the newest first.
     """
 
     def __init__(self, *, late_last: bool) -> None:
         """Create an empty queue."""
         self._late_last = late_last
-        self._clock = _FairClock()
+        self._clock = _VirtualClock()
         self._resumed: list[_Item] = []
-        self._on_time = _FairLane(self._clock)
-        self._late = _FairLane(self._clock)
+        self._on_time = _FairQueue(self._clock)
+        self._late = _FairQueue(self._clock)
         self._newest: list[_Item] = []
-        self._number = itertools.count()
+        self._sequence = itertools.count()
         self._count = 0
 
     def __len__(self) -> int:
         """Return the number of queued tickets."""
         return self._count
 
-    def push(self, entry: _pool_ticket.QueuedTicket, *, at_head: bool) -> None:
-        """Queue a ticket, at the head of the tier if it was started before."""
-        number = next(self._number)
-        heapq.heappush(self._newest, (-entry.arrived, -number, entry))
+    def push(self, queued: _pool_ticket.QueuedTicket, *, at_head: bool) -> None:
+        """Add a ticket, at the head of the tier if its request has been started before."""
+        number = next(self._sequence)
+        heapq.heappush(self._newest, (-queued.arrived, -number, queued))
         self._count += 1
         if at_head:
-            heapq.heappush(self._resumed, (entry.arrived, number, entry))
+            heapq.heappush(self._resumed, (queued.arrived, number, queued))
         else:
-            self._on_time.push(entry, entry.order_key)
+            self._on_time.push(queued, queued.order_key)
 
     def pop(self, now: float, cost_of: CostOf) -> _pool_ticket.QueuedTicket:
-        """Take the ticket to start next; the queue must not be empty."""
-        entry = self._pop_resumed()
-        if entry is None:
-            entry = self._pop_on_time(now)
-            if entry is None:
-                entry = self._late.pop()
-            if entry is None:
+        """Remove and return the ticket to start next; the queue must not be empty."""
+        queued = self._pop_resumed()
+        if queued is None:
+            queued = self._pop_on_time(now)
+            if queued is None:
+                queued = self._late.pop()
+            if queued is None:
                 raise IndexError("pop from an empty queue")
-            self._clock.charge(entry.ticket.account, cost_of(entry.ticket))
-        self.remove(entry)
-        return entry
+            self._clock.charge(queued.ticket.account, cost_of(queued.ticket))
+        self.remove(queued)
+        return queued
 
-    def remove(self, entry: _pool_ticket.QueuedTicket) -> None:
-        """Take a ticket out, wherever it stands; its heap entries go later."""
-        entry.live = False
+    def remove(self, queued: _pool_ticket.QueuedTicket) -> None:
+        """Remove a ticket; its heap entries become stale and are dropped later."""
+        queued.live = False
         self._count -= 1
-        if len(self._newest) > 2 * self._count + _SLACK:
+        if len(self._newest) > 2 * self._count + _MAX_STALE:
             self._rebuild()
 
     def newest(self) -> _pool_ticket.QueuedTicket | None:
-        """Return the ticket that arrived last, the first to be shed."""
+        """Return the ticket that arrived last, which is shed first."""
         while self._newest and not self._newest[0][2].live:
             heapq.heappop(self._newest)
         return self._newest[0][2] if self._newest else None
 
     def _pop_resumed(self) -> _pool_ticket.QueuedTicket | None:
         while self._resumed:
-            entry = heapq.heappop(self._resumed)[2]
-            if entry.live:
-                return entry
+            queued = heapq.heappop(self._resumed)[2]
+            if queued.live:
+                return queued
         return None
 
     def _pop_on_time(self, now: float) -> _pool_ticket.QueuedTicket | None:
-        while (entry := self._on_time.pop()) is not None:
-            if not self._late_last or entry.latest_start >= now:
-                return entry
-            self._late.push(entry, -entry.arrived)
+        while (queued := self._on_time.pop()) is not None:
+            if not self._late_last or queued.latest_start >= now:
+                return queued
+            self._late.push(queued, -queued.arrived)
         return None
 
     def _rebuild(self) -> None:
--- a/src/medlarfork/pool/ownership.py
+++ b/src/medlarfork/pool/ownership.py
@@ -1,4 +1,4 @@
-"""Decide which entry hosts own each pool in a view."""
+"""Ownership of pools: which entry hosts own each pool in a cluster view."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from medlarfork.declared import configuration
 
 RANKED_HOSTS = 3
-"""How many entry hosts are asked for a pool, one after the other."""
+"""How many entry hosts are ranked for a pool, to be tried in order."""
 
 SERVING_HOSTS = 2
-"""How many of them, the owner and its standby, hear announcements and accept tickets."""
+"""How many of them receive announcements and accept tickets: the owner and its standby."""
 
 
 class Ownership:
-    """Rank the live serving entry hosts for each pool of one configuration and view."""
+    """Rank the serving entry hosts for each pool of one configuration and view."""
 
     def __init__(
         self,
@@ -22,12 +22,14 @@
         view: member.View,
         previous: Ownership | None = None,
     ) -> None:
-        """Rank within a configuration and a view.
+        """Create the ranking for a configuration and a view.
 
         Args:
-            entry_id: The host that asks.
+            entry_id: The entry host that evaluates the ranking.
+            declared: The configuration.
+            view: The cluster view.
             previous: The ranking before this one; it saves most of the work if few entry hosts
-                came or went since.
+                joined or left since.
         """
         self._entry_id = entry_id
         self._candidates = frozenset(_candidates(entry_id, declared, view))
@@ -46,31 +48,32 @@
         }
 
     def pools(self, service: str) -> tuple[str, ...]:
-        """Return the service's pools; none if it is not declared."""
+        """Return the service's pools; empty if it is not declared."""
         return self._pools_by_service.get(service, ())
 
     def service_of(self, pool: str) -> str:
-        """Return the pool's service; an empty text if the pool does not exist."""
+        """Return the pool's service; an empty string if the pool does not exist."""
         return self._service_by_pool.get(pool, "")
 
     def owners(self, pool: str) -> tuple[str, ...]:
-        """Return owner, standby and next of a pool; none if it does not exist."""
+        """Return the pool's owner, standby and the next in rank; empty if it does not exist."""
         if pool not in self._service_by_pool:
             return ()
         owners = self._owners_by_pool.get(pool)
         if owners is None:
-            owners = rendezvous.rank(pool, self._contenders(pool))[:RANKED_HOSTS]
+            owners = rendezvous.rank(pool, self._candidates_for(pool))[:RANKED_HOSTS]
             self._owners_by_pool[pool] = owners
         return owners
 
-    def _contenders(self, pool: str) -> frozenset[str]:
-        """Return the hosts among which the pool's best are.
+    def _candidates_for(self, pool: str) -> frozenset[str]:
+        """Return the hosts to rank for the pool.
 
-        While none of the best has gone, only those and the newcomers can be among the best.
+        While all previously ranked hosts are still candidates, only they and the hosts that joined
+        since can rank highest.
         """
-        before = frozenset(self._previous_by_pool.get(pool, ()))
-        if before and before <= self._candidates:
-            return before | self._joined
+        previous = frozenset(self._previous_by_pool.get(pool, ()))
+        if previous and previous <= self._candidates:
+            return previous | self._joined
         return self._candidates
 
     def serving_hosts(self, pool: str) -> tuple[str, ...]:
@@ -78,11 +81,11 @@
         return self.owners(pool)[:SERVING_HOSTS]
 
     def owns(self, pool: str) -> bool:
-        """Return whether the asking host is the pool's owner."""
+        """Return whether this host owns the pool."""
         return self.owners(pool)[:1] == (self._entry_id,)
 
     def serves(self, pool: str) -> bool:
-        """Return whether the asking host accepts tickets of the pool, as owner or standby."""
+        """Return whether this host accepts tickets of the pool, as owner or standby."""
         return self._entry_id in self.serving_hosts(pool)
 
 
@@ -105,5 +108,5 @@
         for item in view.members
         if item.state is member.MemberState.SERVING and item.entry_id not in drained
     )
-    everybody = tuple(item.entry_id for item in view.members)
-    return serving or everybody or (entry_id,)
+    members = tuple(item.entry_id for item in view.members)
+    return serving or members or (entry_id,)
