--- a/src/medlarfork/pool/pool.py
+++ b/src/medlarfork/pool/pool.py
@@ -1,4 +1,4 @@
-"""Schedule one pool: who starts next, on which upstream, and who is refused or preempted."""
+"""Scheduler of one pool: which ticket starts next and where, and which is refused or preempted."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 PoolOptions = pool_options.PoolOptions
 
-_HOUSEKEEP_S = 1.0
-"""How often upstreams are compared, in seconds."""
-_PATROL_S = 0.05
-"""How often withheld slots are looked at again while tickets wait for them, in seconds."""
+_HOUSEKEEPING_PERIOD_S = 1.0
+"""How often housekeeping runs: upstream comparison, failover, pruning; in seconds."""
+_WITHHELD_RECHECK_S = 0.05
+"""How often withheld slots are re-evaluated while tickets wait for them, in seconds."""
 
 
 class Pool:
-    """Decide for one pool; see ``pool_events`` for what goes in and out of ``handle``.
+    """Schedule the tickets of one pool; ``pool_events`` lists the events and actions of ``handle``.
 
-    Higher tiers start first. A lower tier starts before them only on its floor, leaves them the
-    slots they are expected to need, and gives slots back to them by preemption. Tickets are
-    refused from the lowest tier's newest upwards, except those refused for their own deadline or
-    their own account's limit.
+    Higher tiers start first. A lower tier starts before them only to use its floor, leaves free the
+    slots that they are expected to need, and may be preempted for them. On overload the newest
+    ticket of the lowest tier is shed first; a ticket whose own deadline, account limit or record
+    of crashed upstreams rules it out is shed regardless of its tier.
     """
 
     def __init__(
@@ -43,25 +43,25 @@
         Args:
             name: Pool name, as ``SERVICE/SHARD``.
             entry_id: The entry host that owns the pool.
-            random: Seeded generator that spreads retry times.
+            random: Seeded generator of the jitter of retry times.
             options: Rules and constants.
         """
         self.name = name
         self.entry_id = entry_id
         self._options = options
-        self._parts = parts = _pool_state.PoolState(options, random)
-        self._queues = parts.queues
-        self._running = parts.running
-        self._upstreams = parts.upstreams
-        self._accounts = parts.accounts
-        self._outlook = parts.outlook
-        self._timers = parts.timers
-        self._preemption = parts.preemption
+        self._state = state = _pool_state.PoolState(options, random)
+        self._queues = state.queues
+        self._running = state.running
+        self._upstreams = state.upstreams
+        self._accounts = state.accounts
+        self._forecast = state.forecast
+        self._timers = state.timers
+        self._preemption = state.preemption
         self._finished = _finished_tickets.FinishedTickets()
-        self._starter = _granter.Granter(name, options, parts)
+        self._granter = _granter.Granter(name, options, state)
         self._housekeep_at = -math.inf
         self._wake_at = -math.inf
-        self._arrived: _pool_ticket.QueuedTicket | None = None
+        self._new_ticket: _pool_ticket.QueuedTicket | None = None
         self._actions: list[Any] = []
 
     def handle(self, event: Any, now: float) -> tuple[Any, ...]:
@@ -69,12 +69,12 @@
         self._actions = []
         if self._options.floors:
             running, queued = self._running.count_by_tier, self._queues.count_by_tier
-            self._parts.floor.advance(now, self._upstreams.slots, running, queued)
+            self._state.floor.advance(now, self._upstreams.slots, running, queued)
         self._housekeep(now)
         self._apply(event, now)
-        self._look_at_due(now)
-        self._actions += self._starter.start(now)
-        self._watch_arrived(now)
+        self._process_due_timers(now)
+        self._actions += self._granter.grant_queued(now)
+        self._set_arrival_timers(now)
         self._shed_overflow(now)
         self._preempt(now)
         self._set_wake(now)
@@ -88,24 +88,26 @@
             slots=self._upstreams.slots,
             running=len(self._running),
             queued=len(self._queues),
-            drain_per_s=self._outlook.drain_per_s(now),
+            drain_per_s=self._forecast.drain_per_s(now),
         )
 
     def upstream_views(self) -> tuple[pool_view.UpstreamView, ...]:
-        """Show every upstream."""
+        """Return a view of every upstream."""
         health, slow_start_s = self._upstreams.health, self._options.slow_start_s
-        return tuple(known.view(health, slow_start_s) for known in self._upstreams)
+        return tuple(
+            upstream_state.view(health, slow_start_s) for upstream_state in self._upstreams
+        )
 
     def tier_views(self, now: float) -> tuple[pool_view.TierView, ...]:
-        """Show every tier that has tickets queued or running."""
+        """Return a view of every tier that has tickets queued or running."""
         tiers = sorted({*self._queues.count_by_tier, *self._running.count_by_tier})
         return tuple(
             pool_view.TierView(
                 tier=tier,
                 queued=self._queues.count_by_tier.get(tier, 0),
                 running=self._running.count_by_tier.get(tier, 0),
-                withheld=self._starter.withheld(tier, now),
-                floor_slots=self._parts.floor.slots(tier),
+                withheld=self._granter.withheld(tier, now),
+                floor_slots=self._state.floor.slots(tier),
             )
             for tier in tiers
         )
@@ -113,26 +115,26 @@
     def _apply(self, event: Any, now: float) -> None:
         match event:
             case ticket.Ticket():
-                self._arrive(event, now)
+                self._admit(event, now)
             case ticket.Release():
                 self._release(event, now)
             case ticket.Withdraw(ticket_id=ticket_id, pool=pool):
                 unused = ticket.Release(ticket_id, pool, ticket.ReleaseCause.UNUSED)
                 self._release(unused, now)
             case ticket.Running():
-                self._take_over(event, now)
+                self._add_taken_over(event, now)
             case pool_events.UpstreamUp(announcement, age_s):
-                self._announced(announcement, now, came_up=True, age_s=age_s)
+                self._apply_announcement(announcement, now, came_up=True, age_s=age_s)
             case pool_events.UpstreamChanged(announcement, age_s):
-                self._announced(announcement, now, came_up=False, age_s=age_s)
+                self._apply_announcement(announcement, now, came_up=False, age_s=age_s)
             case pool_events.UpstreamGone(upstream_id=upstream_id):
-                self._upstreams.gone(upstream_id, now)
-                self._parts.crashes.on_gone(upstream_id)
+                self._upstreams.mark_gone(upstream_id, now)
+                self._state.crash_guard.handle_upstream_gone(upstream_id)
             case pool_events.TookOver():
                 self._upstreams.take_over(now)
-                self._housekeep_at = now + min(_HOUSEKEEP_S, self._options.settle_s)
+                self._housekeep_at = now + min(_HOUSEKEEPING_PERIOD_S, self._options.settle_s)
             case pool_events.EntryGone(entry_id=entry_id):
-                self._lose_entry(entry_id, now)
+                self._remove_entry_host(entry_id, now)
             case pool_events.PolicyChanged():
                 self._configure(event, now)
             case node.TimeDue() | node.Started():
@@ -143,65 +145,65 @@
         for item in event.classes:
             share = max(item.floor_share, share_by_tier.get(item.tier, 0.0))
             share_by_tier[item.tier] = share
-        self._parts.floor.set_shares(share_by_tier)
+        self._state.floor.set_shares(share_by_tier)
         self._accounts.configure(event.accounts, event.service.shards, now)
         self._upstreams.configure(event.drained_upstreams, event.service.slots, now)
 
-    def _announced(
+    def _apply_announcement(
         self, announcement: upstream.Announcement, now: float, *, came_up: bool, age_s: float
     ) -> None:
-        self._upstreams.announce(announcement, now, came_up=came_up, age_s=age_s)
-        self._parts.crashes.on_announced(
+        self._upstreams.apply_announcement(announcement, now, came_up=came_up, age_s=age_s)
+        self._state.crash_guard.handle_announcement(
             announcement.upstream_id, announcement.incarnation, now - age_s
         )
 
-    def _is_open(self, ticket_id: str) -> bool:
-        """Return whether a ticket waits or runs."""
+    def _is_active(self, ticket_id: str) -> bool:
+        """Return whether a ticket is queued or running."""
         queued = self._queues.get(ticket_id) is not None
         return queued or self._running.get(ticket_id) is not None
 
-    def _arrive(self, item: ticket.Ticket, now: float) -> None:
-        if self._answer_again(item):
+    def _admit(self, item: ticket.Ticket, now: float) -> None:
+        if self._resend_answer(item):
             return
-        retry_s = self._parts.crashes.refusal_s(item, self._is_open, now)
+        retry_s = self._state.crash_guard.blocked_for_s(item, self._is_active, now)
         if retry_s is not None:
             self._shed(item, ticket.ShedReason.ENDS_UPSTREAMS, now, retry_s)
             return
-        entry = _pool_ticket.QueuedTicket(item, now)
-        resumed = item.resume_offset > 0 or self._preemption.suffered(item.ticket_id)
-        self._outlook.set_times(entry)
+        queued_ticket = _pool_ticket.QueuedTicket(item, now)
+        resumed = item.resume_offset > 0 or self._preemption.was_preempted(item.ticket_id)
+        self._forecast.set_start_times(queued_ticket)
         if not resumed:
-            self._parts.reserve.arrived(item.tier, entry.urgent_at - now, now)
-            limit_s = self._accounts.wait_s(item.account, now, self._outlook.slot_s(item))
-            if limit_s > 0:
-                self._shed(item, ticket.ShedReason.ACCOUNT_LIMIT, now, limit_s)
+            self._state.reserve.record_arrival(item.tier, queued_ticket.urgent_at - now, now)
+            retry_s = self._accounts.wait_s(item.account, now, self._forecast.mean_slot_s(item))
+            if retry_s > 0:
+                self._shed(item, ticket.ShedReason.ACCOUNT_LIMIT, now, retry_s)
                 return
-        # A resumed ticket goes to the head, so nothing of its tier is ahead of it.
+        # A resumed ticket is queued at the head, so no ticket of its tier is ahead of it.
         ahead = 0 if resumed else self._queues.count_by_tier.get(item.tier, 0)
-        if self._outlook.is_hopeless(entry, ahead, now):
+        if self._forecast.is_hopeless(queued_ticket, ahead, now):
             self._shed(item, ticket.ShedReason.HOPELESS, now)
             return
-        self._accounts.admitted(item.account, counted=not resumed)
-        self._queues.push(entry, at_head=resumed)
-        self._arrived = entry
-
-    def _watch_arrived(self, now: float) -> None:
-        """Set the timers of a ticket that has just arrived and was not started at once."""
-        entry, self._arrived = self._arrived, None
-        if entry is None or not entry.live:
+        self._accounts.record_admission(item.account, charge_request=not resumed)
+        self._queues.push(queued_ticket, at_head=resumed)
+        self._new_ticket = queued_ticket
+
+    def _set_arrival_timers(self, now: float) -> None:
+        """Set the timers of a ticket that has just arrived and was not started immediately."""
+        queued_ticket, self._new_ticket = self._new_ticket, None
+        if queued_ticket is None or not queued_ticket.live:
             return
-        self._timers.add(entry.hopeless_at, _timers.Kind.EXPIRE, entry)
-        tier = entry.ticket.tier
-        if not self._options.preempt or entry.ticket.target_left_s is None:
+        self._timers.add(queued_ticket.hopeless_at, _timers.Kind.EXPIRE, queued_ticket)
+        tier = queued_ticket.ticket.tier
+        if not self._options.preempt or queued_ticket.ticket.target_left_s is None:
             return
-        wait_s = self._queues.up_to_tier(tier) / max(1.0, self._outlook.freed_per_s(now))
-        if entry.urgent_at - wait_s > now:
-            self._timers.add(entry.urgent_at - wait_s, _timers.Kind.URGENT, entry)
-        elif entry.latest_start > now:
-            self._queues.set_urgent(entry, True)
-        self._timers.add(entry.latest_start, _timers.Kind.LATE, entry)
-
-    def _answer_again(self, item: ticket.Ticket) -> bool:
+        wait_s = self._queues.count_up_to_tier(tier) / max(1.0, self._forecast.freed_per_s(now))
+        if queued_ticket.urgent_at - wait_s > now:
+            self._timers.add(queued_ticket.urgent_at - wait_s, _timers.Kind.URGENT, queued_ticket)
+        elif queued_ticket.latest_start > now:
+            self._queues.set_urgent(queued_ticket, True)
+        self._timers.add(queued_ticket.latest_start, _timers.Kind.LATE, queued_ticket)
+
+    def _resend_answer(self, item: ticket.Ticket) -> bool:
         running = self._running.get(item.ticket_id)
         if running is not None:
             if running.grant is not None:
@@ -215,10 +217,10 @@
         return self._queues.get(item.ticket_id) is not None
 
     def _release(self, event: ticket.Release, now: float) -> None:
-        entry = self._queues.get(event.ticket_id)
-        if entry is not None:
-            self._queues.remove(entry)
-            self._accounts.ended(entry.ticket.account, 0)
+        queued_ticket = self._queues.get(event.ticket_id)
+        if queued_ticket is not None:
+            self._queues.remove(queued_ticket)
+            self._accounts.record_end(queued_ticket.ticket.account, 0)
         else:
             self._end_running(event, now)
         if event.ticket_id not in self._finished:
@@ -229,128 +231,138 @@
         if running is None:
             return
         item = running.ticket
-        known = self._upstreams.get(running.upstream_id)
-        incarnation = 0 if known is None else known.announcement.incarnation
-        self._parts.crashes.on_ended(item, running.upstream_id, incarnation, event.cause, now)
-        self._upstreams.finish(running, event, now)
-        self._accounts.ended(item.account, event.tokens)
+        upstream_state = self._upstreams.get(running.upstream_id)
+        incarnation = 0 if upstream_state is None else upstream_state.announcement.incarnation
+        self._state.crash_guard.record_run_end(
+            item, running.upstream_id, incarnation, event.cause, now
+        )
+        self._upstreams.remove_running(running, event, now)
+        self._accounts.record_end(item.account, event.tokens)
         if event.cause != ticket.ReleaseCause.UNUSED:
-            self._parts.reserve.released(item.tier, now - running.started)
-        self._outlook.released(item, event, now)
-        self._parts.stall.ended(item, event.cause)
+            self._state.reserve.record_release(item.tier, now - running.started)
+        self._forecast.record_release(item, event, now)
+        self._state.failover.record_end(item, event.cause)
         preempted = event.cause == ticket.ReleaseCause.PREEMPTED
-        self._preemption.ended(running, preempted=preempted, now=now)
+        self._preemption.record_end(running, preempted=preempted, now=now)
 
-    def _take_over(self, event: ticket.Running, now: float) -> None:
+    def _add_taken_over(self, event: ticket.Running, now: float) -> None:
         item = event.ticket
-        known = self._running.get(item.ticket_id)
-        if known is not None:
-            self._adopt(known, event, now)
+        current = self._running.get(item.ticket_id)
+        if current is not None:
+            self._restore_orphan(current, event, now)
             return
-        if not self._finished.adopt(item.ticket_id):
+        if not self._finished.reopen(item.ticket_id):
             return
-        entry = self._queues.get(item.ticket_id)
-        if entry is not None:
-            self._queues.remove(entry)
+        queued_ticket = self._queues.get(item.ticket_id)
+        if queued_ticket is not None:
+            self._queues.remove(queued_ticket)
         else:
-            self._accounts.admitted(item.account, counted=False)
+            self._accounts.record_admission(item.account, charge_request=False)
         started, expires_at = now - event.running_s, now + item.time_left_s
-        running = self._starter.run(item, event.upstream_id, started, expires_at, now)
+        running = self._granter.add_running(item, event.upstream_id, started, expires_at, now)
         self._preemption.add(running)
 
-    def _adopt(self, known: _pool_ticket.RunningTicket, event: ticket.Running, now: float) -> None:
-        """Give a lost entry host's ticket its slot back: the host is there again and runs it."""
-        if known.orphaned:
-            known.orphaned = False
-            known.expires_at = now + event.ticket.time_left_s + self._options.release_grace_s
-            self._timers.add(known.expires_at, _timers.Kind.EXPIRE, known)
-
-    def _lose_entry(self, entry_id: str, now: float) -> None:
-        for entry in self._queues.of_entry(entry_id):
-            self._queues.remove(entry)
-            self._accounts.ended(entry.ticket.account, 0)
-            self._finished.add(entry.ticket.ticket_id, None, now)
+    def _restore_orphan(
+        self, current: _pool_ticket.RunningTicket, event: ticket.Running, now: float
+    ) -> None:
+        """Restore a ticket's slot after its lost entry host has returned and still runs it."""
+        if current.orphaned:
+            current.orphaned = False
+            current.expires_at = now + event.ticket.time_left_s + self._options.release_grace_s
+            self._timers.add(current.expires_at, _timers.Kind.EXPIRE, current)
+
+    def _remove_entry_host(self, entry_id: str, now: float) -> None:
+        for queued_ticket in self._queues.of_entry(entry_id):
+            self._queues.remove(queued_ticket)
+            self._accounts.record_end(queued_ticket.ticket.account, 0)
+            self._finished.add(queued_ticket.ticket.ticket_id, None, now)
         for running in self._running.of_entry(entry_id):
             running.orphaned = True
             running.expires_at = min(running.expires_at, now + self._options.orphan_s)
             self._timers.add(running.expires_at, _timers.Kind.EXPIRE, running)
 
-    def _look_at_due(self, now: float) -> None:
+    def _process_due_timers(self, now: float) -> None:
         for kind, item in self._timers.due(now):
             match item:
                 case _pool_ticket.RunningTicket():
-                    self._take_back(item, now)
+                    self._reclaim(item, now)
                 case _pool_ticket.QueuedTicket() if kind is _timers.Kind.EXPIRE:
-                    self._drop(item, ticket.ShedReason.HOPELESS, now)
+                    self._shed_queued(item, ticket.ShedReason.HOPELESS, now)
                 case _pool_ticket.QueuedTicket():
                     self._queues.set_urgent(item, kind is _timers.Kind.URGENT)
         if self._upstreams.usable:
             return
         if self._upstreams.unusable_s(now) >= self._options.no_upstream_grace_s:
-            while (entry := self._queues.newest_of_lowest()) is not None:
-                self._drop(entry, ticket.ShedReason.NO_UPSTREAM, now)
+            while (queued_ticket := self._queues.next_to_shed()) is not None:
+                self._shed_queued(queued_ticket, ticket.ShedReason.NO_UPSTREAM, now)
 
-    def _take_back(self, running: _pool_ticket.RunningTicket, now: float) -> None:
+    def _reclaim(self, running: _pool_ticket.RunningTicket, now: float) -> None:
         if running.expires_at > now:
             return
         self._running.pop(running.ticket.ticket_id)
-        self._upstreams.finish(running, None, now)
-        self._accounts.ended(running.ticket.account, 0)
-        self._finished.take_back(running.ticket.ticket_id, now)
+        self._upstreams.remove_running(running, None, now)
+        self._accounts.record_end(running.ticket.account, 0)
+        self._finished.add_reclaimed(running.ticket.ticket_id, now)
 
     def _shed_overflow(self, now: float) -> None:
         while len(self._queues) > self._options.max_queued:
-            entry = self._queues.newest_of_lowest()
-            if entry is None:
+            queued_ticket = self._queues.next_to_shed()
+            if queued_ticket is None:
                 return
-            self._drop(entry, ticket.ShedReason.OVERLOADED, now)
+            self._shed_queued(queued_ticket, ticket.ShedReason.OVERLOADED, now)
 
     def _preempt(self, now: float) -> None:
         if not self._options.preempt or not any(self._queues.urgent_by_tier.values()):
             return
-        wanted = 0
-        pending = self._preemption.pending(now)
+        needed = 0
+        pending = self._preemption.count_pending(now)
         for tier in sorted(self._queues.urgent_by_tier):
-            wanted += self._queues.urgent_by_tier[tier]
-            while pending < wanted:
-                victim = self._preemption.choose(tier, self._may_spare, self._upstreams.slots, now)
+            needed += self._queues.urgent_by_tier[tier]
+            while pending < needed:
+                victim = self._preemption.choose_victim(
+                    tier, self._is_above_floor, self._upstreams.slots, now
+                )
                 if victim is None:
                     break
                 held = victim.ticket
                 self._actions.append(ticket.Preempt(held.ticket_id, held.entry_id, self.name))
                 pending += 1
 
-    def _move_stalled(self, now: float) -> None:
-        """Ask for tickets back from upstreams that are lost."""
-        stall = self._parts.stall
-        for known in self._upstreams:
-            if known.running and self._upstreams.usable and stall.is_lost(known, now):
-                running = self._running.at_upstream(known.announcement.upstream_id)
-                self._actions += stall.ask(running, now)
-
-    def _may_spare(self, tier: int) -> bool:
+    def _recall_stalled(self, now: float) -> None:
+        """Recall tickets from lost upstreams, if there is another upstream to run them."""
+        failover = self._state.failover
+        for upstream_state in self._upstreams:
+            if (
+                upstream_state.running
+                and self._upstreams.usable
+                and failover.is_lost(upstream_state, now)
+            ):
+                running = self._running.at_upstream(upstream_state.announcement.upstream_id)
+                self._actions += failover.recall(running, now)
+
+    def _is_above_floor(self, tier: int) -> bool:
         running = self._running.count_by_tier.get(tier, 0)
-        return not self._options.floors or running > int(self._parts.floor.slots(tier))
+        return not self._options.floors or running > int(self._state.floor.slots(tier))
 
-    def _drop(
-        self, entry: _pool_ticket.QueuedTicket, reason: ticket.ShedReason, now: float
+    def _shed_queued(
+        self, queued_ticket: _pool_ticket.QueuedTicket, reason: ticket.ShedReason, now: float
     ) -> None:
-        self._queues.remove(entry)
-        self._accounts.ended(entry.ticket.account, 0)
-        self._shed(entry.ticket, reason, now)
+        self._queues.remove(queued_ticket)
+        self._accounts.record_end(queued_ticket.ticket.account, 0)
+        self._shed(queued_ticket.ticket, reason, now)
 
     def _shed(
         self,
         item: ticket.Ticket,
         reason: ticket.ShedReason,
         now: float,
-        limit_s: float | None = None,
+        retry_s: float | None = None,
     ) -> None:
-        if limit_s is None:
+        if retry_s is None:
             queued = self._queues.count_by_tier.get(item.tier, 0)
-            retry_after_s = self._outlook.retry_after_s(item.tier, queued, now)
+            retry_after_s = self._forecast.retry_after_s(item.tier, queued, now)
         else:
-            retry_after_s = self._outlook.spread_s(limit_s)
+            retry_after_s = self._forecast.jittered_s(retry_s)
         shed = ticket.Shed(item.ticket_id, item.entry_id, self.name, reason, retry_after_s)
         self._finished.add(item.ticket_id, shed, now)
         self._actions.append(shed)
@@ -358,11 +370,11 @@
     def _housekeep(self, now: float) -> None:
         if now < self._housekeep_at:
             return
-        self._housekeep_at = now + _HOUSEKEEP_S
+        self._housekeep_at = now + _HOUSEKEEPING_PERIOD_S
         self._upstreams.housekeep(now)
-        self._parts.crashes.tidy(now)
+        self._state.crash_guard.prune(now)
         if self._options.move_stalled:
-            self._move_stalled(now)
+            self._recall_stalled(now)
         self._preemption.trim(self._running.count_by_tier)
 
     def _set_wake(self, now: float) -> None:
@@ -370,7 +382,9 @@
         self._timers.trim(queued + running)
         at = self._timers.next_at()
         if queued:
-            at = min(at, now + (_PATROL_S if self._upstreams.free else _HOUSEKEEP_S))
+            at = min(
+                at, now + (_WITHHELD_RECHECK_S if self._upstreams.free else _HOUSEKEEPING_PERIOD_S)
+            )
         if (queued or running or self._upstreams.usable) and self._housekeep_at < at:
             at = self._housekeep_at
         if at < math.inf and not now < self._wake_at <= at:
--- a/src/medlarfork/pool/pool_events.py
+++ b/src/medlarfork/pool/pool_events.py
@@ -1,4 +1,4 @@
-"""Define the events of a pool besides the tickets that entry hosts send (see ``ticket``).
+"""Events of a pool, besides the messages of entry hosts in ``ticket``.
 
 ``Pool.handle`` takes these, ``node.TimeDue``, and from module ``ticket``: ``Ticket``,
 ``Withdraw``, ``Release`` and ``Running``. Its actions are ``ticket.Grant``, ``ticket.Shed``,
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PolicyChanged:
-    """Put a revision's classes, accounts and service in force for what comes next.
+    """Apply the classes, accounts and service of a new configuration revision.
 
     Attributes:
         classes: Every declared class; a tier's floor is the largest of its classes' shares. A
             ticket keeps the tier that it was classified with.
         accounts: Every declared account; an undeclared one has weight 1 and no limits.
-        service: The service that the pool's upstreams answer.
-        drained_upstreams: Ids of upstreams that get no new grants; running ones go on.
+        service: The service that the pool's upstreams belong to.
+        drained_upstreams: Ids of upstreams that get no new grants; running requests continue.
     """
 
     classes: tuple[configuration.RequestClass, ...]
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamUp:
-    """Add an upstream whose lease has begun; the sender enforces the lease.
+    """Add an upstream whose lease has started; the sender enforces the lease.
 
-    A repeated one, or one for a known upstream, counts as ``UpstreamChanged``.
+    For an upstream that is already up, it has the effect of ``UpstreamChanged``.
 
     Attributes:
-        age_s: How long ago the announcement was heard.
+        age_s: How long ago the announcement was received.
     """
 
     announcement: upstream.Announcement
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamChanged:
-    """Hand over a newer announcement of an upstream that is up, with its load and cache events.
+    """Apply a newer announcement of an upstream that is up, with its load and cache events.
 
-    State LEAVING ends new grants for the rest of the incarnation; running ones go on.
+    State LEAVING ends new grants for the rest of the incarnation; running requests continue.
 
     Attributes:
-        age_s: How long ago the announcement was heard.
+        age_s: How long ago the announcement was received.
     """
 
     announcement: upstream.Announcement
@@ -71,19 +71,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TookOver:
-    """Say that the pool now decides for its upstreams in another owner's place.
+    """Take over the pool from another owner.
 
-    What that one granted may not be known yet, so that for a while only slots are granted which
-    a reading of the upstream's load since then shows free.
+    Not all grants of the earlier owner may be known yet. During the settling time a slot is
+    therefore granted only if a load report of the upstream since the takeover shows it free.
     """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryGone:
-    """Drop a lost entry host's queued tickets.
+    """Drop the queued tickets of a lost entry host.
 
-    Its running tickets keep their slots until a timeout, since the upstreams may still be at
-    work for them.
+    Its running tickets keep their slots until a timeout, because the upstreams may still be
+    processing them.
     """
 
     entry_id: str
--- a/src/medlarfork/pool/pool_options.py
+++ b/src/medlarfork/pool/pool_options.py
@@ -1,4 +1,4 @@
-"""Define the options of a pool: which rules are on, and their constants."""
+"""Options of a pool: which scheduling rules are enabled, and their parameters."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 
 
 class TicketOrder(enum.StrEnum):
-    """Say in which order one account's tickets of a tier start."""
+    """Order in which an account's tickets of a tier start.
+
+    ARRIVAL: by arrival.
+    TARGET: by target time, or deadline if that is earlier.
+    LAXITY: by the latest start that meets the target, or deadline if that is earlier.
+    """
 
     ARRIVAL = "arrival"
     TARGET = "target"
@@ -16,38 +21,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolOptions:
-    """Tune a pool; docs/design/placement.md compares the ways.
+    """Options of a pool; docs/design/placement.md compares the alternatives.
 
     Attributes:
-        max_queued: Tickets queued at once; beyond it the lowest tier's newest is shed.
-        order: Order among one account's tickets of a tier.
-        charge_time: Whether accounts share slot time rather than starts.
-        floors: Whether each tier is sure of its floor share of the slots.
-        late_last: Whether tickets that must miss their target start after those that need not.
+        max_queued: Maximum number of queued tickets; beyond it the lowest tier's newest is shed.
+        order: Order among an account's tickets of a tier.
+        charge_time: Whether fair queueing charges accounts for slot time rather than for starts.
+        floors: Whether each tier is guaranteed its floor share of the slots.
+        late_last: Whether tickets that can no longer meet their target start after the others.
         withhold: Whether slots are kept free for the arrivals expected at higher tiers.
-        withhold_deviations: Standard deviations of demand covered beyond its mean.
-        withhold_max_share: Largest share of the slots withheld from any tier.
-        preempt: Whether lower tiers are preempted to save a higher tier's target.
-        preempt_per_slot_s: Preemptions a second for each slot; up to one a slot at once.
-        preempt_per_request: Preemptions that one request suffers at most.
-        preempt_cooldown_s: How long after a preemption the same request is left alone.
+        withhold_deviations: Standard deviations of demand beyond its mean that are covered.
+        withhold_max_share: Maximum share of the slots withheld from any tier.
+        preempt: Whether lower tiers are preempted so that a higher tier's ticket meets its target.
+        preempt_per_slot_s: Preemptions per second and slot; the burst is one per slot.
+        preempt_per_request: Maximum number of preemptions of one request.
+        preempt_cooldown_s: Minimum time between preemptions of the same request.
         shed_hopeless: Whether a ticket is shed as soon as its deadline can't be met.
-        affinity: Whether tickets prefer the upstream that holds their prompt prefix.
-        affinity_load_bound: Load, relative to the pool's mean, up to which affinity is honoured.
-        eject: Whether failing and straggling upstreams are ejected.
-        eject_slowness: Slowness relative to the peers' median at which one is ejected.
-        eject_failures: Consecutive failures at which one is ejected.
-        eject_s: First ejection's length; doubles with each that follows.
-        eject_max_share: Largest share of the upstreams ejected at once.
-        panic_share: Usable share of the upstreams below which ejections are ignored.
+        affinity: Whether tickets prefer an upstream that caches their prompt prefix.
+        affinity_load_bound: Load relative to the pool's mean, up to which affinity is used.
+        eject: Whether failing and slow upstreams are ejected.
+        eject_slowness: Slowness relative to the peers' median above which an upstream is ejected.
+        eject_failures: Consecutive failures after which an upstream is ejected.
+        eject_s: Length of the first ejection; each further one is twice as long.
+        eject_max_share: Maximum share of the upstreams ejected at the same time.
+        panic_share: Share of upstreams not ejected, below which ejections are ignored.
         adapt_concurrency: Whether an upstream's limit follows its observed slowdown.
         slow_start_s: How long a new or returned upstream takes to reach its full limit.
         no_upstream_grace_s: How long tickets wait while the pool has no usable upstream.
-        move_stalled: Whether repeatable tickets are asked back from upstreams that are gone.
-        settle_s: How long a new owner grants no slot that no reading of the upstream's load since
-            then shows free; earlier grants may not be known yet.
-        orphan_s: How long a lost entry host's running tickets keep their slots.
-        release_grace_s: How long past its deadline a grant may stay unreleased.
+        move_stalled: Whether repeatable tickets are recalled from lost upstreams.
+        settle_s: Settling time of a new owner, in which it grants a slot only if a load report
+            since the takeover shows it free; earlier grants may not be known yet.
+        orphan_s: How long the running tickets of a lost entry host keep their slots.
+        release_grace_s: How long after its deadline an unreleased grant is reclaimed.
     """
 
     max_queued: int = 20_000
@@ -94,4 +99,4 @@
     slow_start_s=0.0,
     move_stalled=False,
 )
-"""Strict tiers and limits only: every adaptive rule is off."""
+"""Only strict tier priority and limits; every adaptive rule is disabled."""
--- a/src/medlarfork/pool/pool_view.py
+++ b/src/medlarfork/pool/pool_view.py
@@ -1,4 +1,4 @@
-"""Show operators what a pool knows; read-only copies."""
+"""Read-only views of a pool's state, for operators."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 class Health(enum.StrEnum):
-    """Say how a pool uses an upstream.
+    """How a pool uses an upstream.
 
+    IN_USE: it gets grants up to its limit.
     EJECTED: it failed or was slow, and gets no grants until the ejection ends.
-    PROBING: after an ejection it gets one request at a time until it has answered well.
-    SLOW_START: it came up or back lately, and its limit still grows.
-    OUT: it gets no grants for another reason, as when it is drained or leaving.
+    PROBING: after an ejection it gets one request at a time until enough of them succeeded.
+    SLOW_START: it came up or returned recently, and its limit is still increasing.
+    OUT: it gets no grants for another reason, such as being drained or leaving.
     """
 
     IN_USE = "in_use"
@@ -25,15 +26,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamView:
-    """Describe an upstream as the pool sees it.
+    """State of an upstream as known to the pool.
 
     Attributes:
         usable: Whether it may get grants now.
-        limit: Requests at once that the pool gives it now; never more than ``slots``.
-        foreign: Requests that its reports show and the pool did not send.
+        limit: Concurrent requests that the pool allows it now; never more than ``slots``.
+        foreign: Requests in its load report that this pool did not send.
         slowness: Time per token relative to the median of its peers.
         ejected_until: Monotonic time at which an ejection ends; None if there is none.
-        full_at: Monotonic time at which a slow start ends.
+        full_at: Monotonic time at which its slow start ends.
     """
 
     upstream_id: str
@@ -53,7 +54,7 @@
     def health(self, now: float) -> Health:
         """Return how the pool uses the upstream at a monotonic time in seconds.
 
-        An ejection that is ignored, because too few upstreams are left, counts as one too.
+        An ejection also counts while it is ignored because too few upstreams are left.
         """
         if self.ejected:
             return Health.EJECTED
@@ -66,11 +67,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TierView:
-    """Describe a tier: what waits, what runs and what lower-tier rules apply to it now.
+    """State of a tier: its queued and running tickets, and its withheld and floor slots.
 
     Attributes:
-        withheld: Free slots that the tier must leave to those above it.
-        floor_slots: Slots that the tier is sure of while it has work queued.
+        withheld: Free slots that the tier must leave to the tiers above it.
+        floor_slots: Slots guaranteed to the tier while it has tickets queued.
     """
 
     tier: int
--- a/src/medlarfork/quarantine/__init__.py
+++ b/src/medlarfork/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the upstreams that run them: who knows, and when one is tried again."""
+"""Quarantine of requests that crash the upstreams that run them."""
--- a/src/medlarfork/quarantine/crash_messages.py
+++ b/src/medlarfork/quarantine/crash_messages.py
@@ -1,6 +1,6 @@
-"""Define what entry hosts and replicas tell each other of requests that ended upstreams.
+"""Messages in which entry hosts and replicas exchange reports on crash-inducing requests.
 
-Any message may be lost, late or repeated: whatever is told is merged, in any order, to the same.
+Messages may be lost, delayed or repeated. Merging them is commutative and idempotent.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamCrash:
-    """Tell that an upstream ended while a request ran there.
+    """The crash of an upstream while a request ran there.
 
     Attributes:
         upstream_id: The incarnation, so that each start of an upstream counts once.
-        ago_s: How long ago, in seconds: clocks of different hosts have nothing in common.
+        ago_s: Age of the crash, in seconds. Ages are sent because the clocks of different hosts are
+            not comparable.
     """
 
     upstream_id: str
@@ -23,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashCase:
-    """Tell all that is known of one request.
+    """Everything known about one request.
 
     Attributes:
-        key: Names the request (see ``request_key``).
-        ends: The upstreams that ended under it.
-        survived_ago_s: How long ago an upstream last answered it whole, in seconds; below 0 if
+        key: The request's key (see ``request_key``).
+        ends: The upstreams that crashed while they ran it.
+        survived_ago_s: Time since an upstream last answered it completely, in seconds; negative if
             none has.
     """
 
@@ -39,14 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Tell cases that are new, that changed, or that the receiver may not know."""
+    """Cases that are new, have changed, or may be missing at the receiver."""
 
     cases: tuple[CrashCase, ...]
 
 
 RESEND_WINDOW_S = 2.0
-"""How long news are told again with each status, in seconds: a link that is being opened again
-loses what is sent meanwhile, and two periods or more fit into the time until all have to know."""
+"""How long an update is resent with each status message, in seconds. A link that is being
+reopened drops what is sent meanwhile, and at least two status periods fit into the time within
+which all have to know."""
 
 CRASH_MESSAGES: tuple[type, ...] = (CrashReport,)
-"""Every message class of this module, for the codec of the links."""
+"""The message classes of this module, to be registered with the codec of the links."""
--- a/src/medlarfork/quarantine/trial_manager.py
+++ b/src/medlarfork/quarantine/trial_manager.py
@@ -1,8 +1,8 @@
-"""Grant trials of requests that ended upstreams: one at a time, whichever hosts ask. Pure.
+"""Grant trials of crash-inducing requests, one at a time across entry hosts. Pure.
 
-A replica decides for the requests whose placement it owns. Entry hosts agree on it by a hash, so
-two grant at once only while hosts differ on who owns placement, and what a trial showed is counted
-by the ledgers of all.
+A replica decides for the requests whose placement it owns. Entry hosts agree on the owner by a
+hash, so two replicas grant trials of one request at once only while hosts disagree on the owner.
+Every ledger records the result of a trial.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from medlarfork.quarantine import crash_ledger
 
 SETTLE_S = 1.0
-"""Time after a trial without a whole answer before the next, in seconds: its entry host looks
-meanwhile whether the upstream ended, and tells."""
+"""Delay after a trial without a complete answer before the next one, in seconds: meanwhile its
+entry host checks whether the upstream crashed, and reports it."""
 
 REPORT_GRACE_S = 1.0
-"""Time after the caller's deadline at which a trial counts as ended, in seconds: its entry host is
-lost, or its report."""
+"""Time after the caller's deadline at which a trial counts as ended, in seconds: its entry host
+or its report was lost."""
 
 RETRY_MS = 1000.0
-"""When to come back while another trial runs, in milliseconds: most runs end within."""
+"""Retry delay while another trial runs, in milliseconds: most requests end within it."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,10 +31,10 @@
 
 
 class TrialManager:
-    """Decide on questions of placement that ask for a trial; the time is handed in."""
+    """Grant or refuse placement requests that need a trial; callers pass the time."""
 
     def __init__(self, ledger: crash_ledger.CrashLedger) -> None:
-        """Decide by what a ledger holds."""
+        """Decide by the cases of a ledger."""
         self._ledger = ledger
         self._trial_by_key: dict[str, _Trial] = {}
         self._key_by_ticket: dict[str, str] = {}
@@ -42,14 +42,14 @@
     def request_trial(
         self, request: placement_messages.PlaceRequest, now: float
     ) -> placement_messages.PlaceRefused | None:
-        """Grant the trial that a question asks for, or return why it may not run now."""
+        """Grant the trial that a placement request needs, or return the refusal."""
         key = request.trial_key
         standing = self._ledger.standing(key, now)
         running = self._trial_by_key.get(key)
         if running is not None and running.until > now:
             if running.ticket_id == request.ticket_id:
                 return None
-            why = "another one like it runs on trial, since upstreams ended under it"
+            why = "another copy of it is on trial because upstreams crashed while they ran it"
             cause = placement_messages.RefusalCause.TRIAL
             return placement_messages.PlaceRefused(request.ticket_id, RETRY_MS, why, cause)
         if standing.verdict is crash_ledger.Verdict.HELD:
@@ -62,7 +62,7 @@
         return None
 
     def on_ended(self, ticket_id: str, end: placement_messages.RunEnd, now: float) -> None:
-        """Take the end of a trial; other tickets are none of this desk's."""
+        """Handle the end of a run; tickets without a trial are ignored."""
         trial = self._trial_by_key.get(self._key_by_ticket.get(ticket_id, ""))
         if end in (placement_messages.RunEnd.COMPLETE, placement_messages.RunEnd.NOT_SENT):
             self.release(ticket_id)
@@ -70,14 +70,14 @@
             trial.until = now + SETTLE_S
 
     def release(self, ticket_id: str) -> None:
-        """Let the next one run: this trial ended with an answer, or never ran."""
+        """Allow the next trial: this one ended with a complete answer, or never ran."""
         key = self._key_by_ticket.pop(ticket_id, "")
         trial = self._trial_by_key.get(key)
         if trial is not None and trial.ticket_id == ticket_id:
             del self._trial_by_key[key]
 
     def tidy(self, now: float) -> None:
-        """Forget the trials that have ended."""
+        """Evict trials that have ended."""
         for key, trial in tuple(self._trial_by_key.items()):
             if trial.until <= now:
                 del self._trial_by_key[key]
--- a/src/medlarfork/ticket.py
+++ b/src/medlarfork/ticket.py
@@ -1,11 +1,11 @@
-"""Define what entry hosts and the owner of a pool say to each other about one request.
+"""Messages between entry hosts and the owner of a pool about one request.
 
 Each service's upstreams form one or more pools (``service.shards``). A pool is owned by one
-entry host, the first in rendezvous order among the live ones. An entry host that holds a
+entry host, the first in rendezvous order among the serving ones. An entry host that holds a
 request sends the owner a ticket; the owner grants it one slot at one upstream; the entry host
-then calls the upstream itself and releases the slot afterwards. The request's body never leaves
-the entry host before the grant, so a refused ticket is provably not run. All durations are in
-seconds; no clock reading crosses hosts.
+then calls the upstream itself and releases the slot afterwards. The request's body does not leave
+the entry host before the grant, so a refused ticket has provably not run. All durations are in
+seconds; no clock reading is sent between hosts.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """Ask the pool's owner for a slot.
+    """Request a slot from the pool's owner.
 
     Attributes:
         ticket_id: The request id followed by the attempt number; never reused.
-        entry_id: The entry host that holds the request; grants go there.
+        entry_id: The entry host that holds the request and receives the grant.
         pool: Pool name, as ``SERVICE/SHARD``.
         tier: Priority; 1 is the highest.
-        waited_s: How long the request has waited already.
-        time_left_s: How long until the answer is of no use.
-        target_left_s: How long until its target is missed; None if it has no target.
-        resume_offset: Tokens received already, if this resumes a broken or preempted stream.
-        avoid: Upstreams not to use again for this request, if any other will do.
-        repeat_key: What the caller's repeats share (see ``quarantine.request_key``); may be empty.
+        waited_s: How long the request has waited so far.
+        time_left_s: Time until its deadline.
+        target_left_s: Time until its target is missed; None if it has no target.
+        resume_offset: Tokens already received, if this resumes a broken or preempted stream.
+        avoid: Upstreams to avoid for this request while any other is usable.
+        repeat_key: Key that the caller's repeats of the request share (see
+            ``quarantine.request_key``); may be empty.
     """
 
     ticket_id: str
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """Confirm to the holder that a ticket is queued; it stops sending the ticket so often."""
+    """Confirm to the holder that a ticket is queued; it then resends the ticket less often."""
 
     ticket_id: str
     pool: str
@@ -59,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """Tell a new owner of a ticket that an earlier owner granted and that still runs."""
+    """Report to a new owner a ticket that an earlier owner granted and that still runs."""
 
     ticket: Ticket
     upstream_id: str
@@ -68,16 +69,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Take back a ticket that has not been granted yet, or whose grant crosses this message."""
+    """Withdraw a ticket that has not been granted yet, or whose grant crosses this message."""
 
     ticket_id: str
     pool: str
 
 
 class ReleaseCause(enum.StrEnum):
-    """Say why a granted slot was given back.
+    """Why a granted slot was released.
 
-    A broken one lost its connection after the request was sent: its upstream may have ended.
+    BROKEN: the connection was lost after the request was sent; the upstream may have crashed.
     """
 
     FINISHED = "finished"
@@ -92,13 +93,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """Give back a granted slot and say how it went.
+    """Release a granted slot and report the outcome.
 
     Attributes:
-        first_token_s: From dispatch to the first body byte; None if there was none.
-        whole_s: From dispatch to the end.
+        first_token_s: Time from dispatch to the first body byte; None if there was none.
+        whole_s: Time from dispatch to the end.
         tokens: Output tokens received.
-        pause_s: How long the upstream, which refused it, wants no further request, in seconds.
+        pause_s: Backoff that the upstream asked for when it refused the request, in seconds.
     """
 
     ticket_id: str
@@ -112,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Released:
-    """Confirm a release, also that of a ticket that is not known; the holder stops resending."""
+    """Confirm a release, even of an unknown ticket; the holder stops resending it."""
 
     ticket_id: str
     pool: str
@@ -120,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Give a ticket one slot at one upstream."""
+    """Grant a ticket one slot at one upstream."""
 
     ticket_id: str
     entry_id: str
@@ -131,7 +132,7 @@
 
 
 class ShedReason(enum.StrEnum):
-    """Say why a ticket was refused for good; nothing of it has run."""
+    """Why a ticket was refused; no part of its request has run."""
 
     ACCOUNT_LIMIT = "account_limit"
     ENDS_UPSTREAMS = "ends_upstreams"
@@ -143,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shed:
-    """Refuse a queued ticket; ``retry_after_s`` comes from the queue's measured drain rate."""
+    """Refuse a ticket; ``retry_after_s`` is estimated from the drain rate of the queue."""
 
     ticket_id: str
     entry_id: str
@@ -154,11 +155,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preempt:
-    """Ask the holder to cancel a granted stream, keep what it has, and queue to resume it.
+    """Request the holder to cancel a granted stream, keep its output, and queue again to resume it.
 
     Attributes:
-        stalled: Whether its upstream is gone. Then also a repeatable request that is not
-            preemptible is asked for, to go on or to start again elsewhere.
+        stalled: Whether its upstream is lost. Repeatable requests are then recalled even if they
+            are not preemptible, to be resumed or restarted at another upstream.
     """
 
     ticket_id: str
--- a/tests/duties/conftest.py
+++ b/tests/duties/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by the tests of duties."""
+"""Shared fixtures of the duties tests."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def make_scaling():
-    """Return a maker of bounds for ordering engines: cheap ones cost a fifth."""
+    """Return a factory of scaling limits; by default, spot engines cost a fifth."""
 
     def make(**changes):
         prices = (1.0, 0.8, 1.25)
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def make_service(make_scaling):
-    """Return a maker of a service whose engines are ordered."""
+    """Return a factory of services whose engines are scaled."""
 
     def make(**changes):
         engine = routing.EngineFacts(slots=32, memory_tokens=500_000)
@@ -38,12 +38,12 @@
 
 @pytest.fixture
 def make_fleet():
-    """Return a maker of what a plan rests on: (staying, cheap) engines in each data centre."""
+    """Return a factory of ``engine_plan.Fleet`` from (on-demand, spot) counts by data centre."""
 
     def make(*counts, unavailable=()):
         running = {}
-        for zone, (staying, spot) in zip(ZONES, counts, strict=True):
-            running[engine_plan.Group(zone, False)] = staying
+        for zone, (on_demand, spot) in zip(ZONES, counts, strict=True):
+            running[engine_plan.Group(zone, False)] = on_demand
             running[engine_plan.Group(zone, True)] = spot
         return engine_plan.Fleet(running, frozenset(unavailable))
 
@@ -51,8 +51,8 @@
 
 
 @pytest.fixture
-def make_present():
-    """Return a maker of announcements: (staying, cheap) engines in each data centre."""
+def make_announcements():
+    """Return a factory of announcements from (on-demand, spot) counts by data centre."""
 
     def make(*counts):
         present = []
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def make_work():
-    """Return a maker of offered work: reading so far in milliseconds, and requests now."""
+    """Return a factory of offered work: total prefill in milliseconds, and current requests."""
 
     def make(read_ms, requests=0):
         return placement_messages.ServiceLoad("engines", read_ms, requests)
--- a/tests/duties/duty_cluster.py
+++ b/tests/duties/duty_cluster.py
@@ -1,4 +1,4 @@
-"""Run coordinators with duties in virtual time: entry hosts that count, and a platform."""
+"""Simulated cluster of coordinators with duties: entry hosts and a platform in virtual time."""
 
 import json
 
@@ -14,13 +14,13 @@
     calls_per_s=50.0,
     usage_window_s=5.0,
 )
-TELL_S = 0.4
-CALL_S = 0.06
+REPORT_PERIOD_S = 0.4
+CALL_LATENCY_S = 0.06
 ZONES = ("z1", "z2", "z3")
 
 
 class EntryHost:
-    """Count as an entry host does; its steady clock is the world's time, its time of day jumps."""
+    """Entry host that counts usage; its steady clock is the cluster's time."""
 
     def __init__(self, entry_id, boot):
         self.entry_id = entry_id
@@ -29,7 +29,7 @@
         self.leader_id = ""
         self.term = 0
 
-    def take(self, sender, message, now):
+    def handle_message(self, sender, message, now):
         match message:
             case coordination_messages.ReplicaStatus():
                 if message.wall_s:
@@ -46,8 +46,8 @@
         return self.counter.pending_report(self.leader_id, self.clock.fleet_time_s(now, now))
 
 
-class World(coordinator_cluster.Cluster):
-    """Add entry hosts and the platform to a cluster of coordinators."""
+class DutyCluster(coordinator_cluster.Cluster):
+    """Cluster of coordinators with entry hosts and a platform."""
 
     def __init__(self, seed=0, entries=3):
         self.platform = platform_standin.Platform(seed, DUTIES.lease_s)
@@ -55,14 +55,14 @@
         self.calls = []
         self.answers = []
         self.wall_offset_by_id = {}
-        self.begun = 0
-        self.call_s = CALL_S
-        self._tell_due = 0.0
+        self.started_requests = 0
+        self.call_latency_s = CALL_LATENCY_S
+        self._next_report_at = 0.0
         super().__init__(seed=seed, duties=DUTIES)
 
     def perform(self, host, action):
         if isinstance(action, duty_types.CallPlatform):
-            # The way from the decision to the wire, in which a process may stand still.
+            # Delay between the decision and sending, during which a process may be suspended.
             self.calls.append((self.time + 0.02, host, host.node, action))
             return
         super().perform(host, action)
@@ -72,17 +72,17 @@
         super().step()
         self._make_calls()
         self.platform.run_until(self.time)
-        if self.time >= self._tell_due:
-            self._tell_due = self.time + TELL_S
-            self._tell()
+        if self.time >= self._next_report_at:
+            self._next_report_at = self.time + REPORT_PERIOD_S
+            self._send_reports()
 
-    def begin(self, account, entry_id="e-0"):
-        """Have a request begin to run."""
-        self.begun += 1
+    def start_request(self, account, entry_id="e-0"):
+        """Let a request start to run."""
+        self.started_requests += 1
         self.entry_by_id[entry_id].record_started(account, self.time)
 
     def holder(self):
-        """Return the replica that may act now."""
+        """Return the replica that may act now; None if there is none."""
         holders = [
             host.replica_id
             for host in self.host_by_id.values()
@@ -90,16 +90,16 @@
         ]
         return holders[0] if holders else None
 
-    def until_held(self, seconds=20.0):
-        """Run until some replica has the duties."""
+    def run_until_held(self, seconds=20.0):
+        """Run until a replica holds the duties, and return it."""
         end_at = self.time + seconds
         while self.holder() is None and self.time < end_at:
             self.step()
-        assert self.holder() is not None, "nobody has the duties"
+        assert self.holder() is not None, "no replica holds the duties"
         return self.holder()
 
     def put_services(self, version, spot_price=0.2):
-        """Declare a service whose engines are ordered."""
+        """Put a routing configuration with a service whose engines are scaled."""
         scaling = {
             "least": 1,
             "most": 20,
@@ -114,15 +114,15 @@
         return self.ask_leader("a", coordinator_types.PutRouting(version, body))
 
     def announce(self, counts):
-        """Have engines announce themselves: (staying, cheap) in each data centre."""
+        """Let engines announce themselves: (on-demand, spot) counts by data centre."""
         for zone, kinds in zip(ZONES, counts, strict=True):
             for is_spot, count in zip((False, True), kinds, strict=True):
                 for number in range(count):
-                    place = f"10.{ZONES.index(zone)}.{int(is_spot)}.{number + 1}:80"
+                    address = f"10.{ZONES.index(zone)}.{int(is_spot)}.{number + 1}:80"
                     announcement = upstream_types.Announcement(
                         f"{zone}-{is_spot}-{number}",
                         "engines",
-                        place,
+                        address,
                         zone,
                         32,
                         sequence=int(self.time * 100),
@@ -136,7 +136,7 @@
                         self.post(replica_id, event)
 
     def _make_calls(self):
-        """Send calls whose process still runs and may act, as the program asks right before."""
+        """Send calls whose process still runs and may act, checked right before sending."""
         due = [call for call in self.calls if call[0] <= self.time]
         self.calls = [call for call in self.calls if call[0] > self.time]
         for _, host, made_by, action in due:
@@ -149,7 +149,7 @@
             end = duty_types.CallEnd.NOT_SENT
             if lease.fence == action.fence and lease.may_act(self.time):
                 end = self.platform.call(host.replica_id, action, self.time)
-            wait_s = 3.0 if end is duty_types.CallEnd.UNKNOWN else self.call_s
+            wait_s = 3.0 if end is duty_types.CallEnd.UNKNOWN else self.call_latency_s
             self.answers.append((self.time + wait_s, host, made_by, action.call_id, end))
         ready = [answer for answer in self.answers if answer[0] <= self.time]
         self.answers = [answer for answer in self.answers if answer[0] > self.time]
@@ -160,9 +160,9 @@
     def _deliver_to_entries(self):
         for sender, to, message in self.packets:
             if to in self.entry_by_id and sender not in self.cut:
-                self.entry_by_id[to].take(sender, message, self.time)
+                self.entry_by_id[to].handle_message(sender, message, self.time)
 
-    def _tell(self):
+    def _send_reports(self):
         for replica_id in tuple(self.host_by_id):
             wall_s = self.time + self.wall_offset_by_id.get(replica_id, 0.0)
             self.post(replica_id, coordinator_types.WallTime(wall_s, self.time))
--- a/tests/duties/test_duty_settings.py
+++ b/tests/duties/test_duty_settings.py
@@ -1,4 +1,4 @@
-"""Settings of duties are checked when a program starts."""
+"""Validation of the duties settings."""
 
 import pytest
 
--- a/tests/duties/test_platform_caller.py
+++ b/tests/duties/test_platform_caller.py
@@ -1,4 +1,4 @@
-"""Calls to a platform over HTTP: how they end, and that nothing is kept of those that did."""
+"""Calls to a platform over HTTP: their results, and the release of finished calls."""
 
 import curio
 import pytest
@@ -15,7 +15,7 @@
 
 
 def _call(platform, fences, *, may_act=lambda fence: True):
-    """Make one report under each fence; return how they ended, and the calls still kept."""
+    """Send one report under each fence; return the results and the number of unfinished calls."""
     ended = []
 
     async def on_call_end(end):
@@ -58,6 +58,6 @@
 
 
 def test_finished_calls_are_released(platform):
-    """Each call left its finished task behind for as long as the process ran."""
+    """A finished call's task must not be kept until the process ends."""
     _, calls_in_progress = _call(platform, (1,) * 20)
     assert calls_in_progress == 0
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -1,4 +1,4 @@
-"""Counting usage: what hosts tell, what the leader adds up, and what is fixed and sent."""
+"""Usage: reports of hosts, the leader's sums, and how windows are fixed and reported."""
 
 import random
 
@@ -30,30 +30,30 @@
 
 
 @pytest.fixture
-def log():
+def state():
     return duty_state.DutyState()
 
 
 @pytest.fixture
-def duty(log):
-    return usage_duty.UsageDuty(log, random.Random(1))
+def duty(state):
+    return usage_duty.UsageDuty(state, random.Random(1))
 
 
-def _told(windows, open_window, boot=1):
+def _usage_told(windows, open_window, boot=1):
     counted = tuple(usage_messages.WindowCounts(*item) for item in windows.items())
     return usage_messages.UsageTold(boot, 1, open_window, counted)
 
 
-def _by_window(pending_report):
-    return {item.window: item.count_by_account for item in pending_report.windows}
+def _by_window(message):
+    return {item.window: item.count_by_account for item in message.windows}
 
 
 def test_requests_count_in_the_window_in_which_they_started(counter):
     for fleet_time_s in (4.99, 5.0, 9.99, 10.0):
         counter.record_started("a", fleet_time_s)
-    pending_report = counter.pending_report("r-1", 10.5)
-    assert _by_window(pending_report) == {0: {"a": 1}, 1: {"a": 2}, 2: {"a": 1}}
-    assert pending_report.open_window == 2
+    message = counter.pending_report("r-1", 10.5)
+    assert _by_window(message) == {0: {"a": 1}, 1: {"a": 2}, 2: {"a": 1}}
+    assert message.open_window == 2
 
 
 def test_confirmed_windows_are_not_resent_unless_they_changed(counter):
@@ -86,13 +86,13 @@
     counter.record_started("a", 1.0)
     ledger.take("e-1", counter.pending_report("r-1", 1.1), 1.1)
     counter.confirm("r-1", usage_messages.UsageReceipt(7, 1, LEDGER))
-    again = usage_ledger.UsageLedger(LEDGER + 1)
-    receipt = again.take("e-1", counter.pending_report("r-1", 6.0), 6.0)
-    assert again.complete(frozenset({"e-1"}), 6.0) == ()
+    restarted_ledger = usage_ledger.UsageLedger(LEDGER + 1)
+    receipt = restarted_ledger.take("e-1", counter.pending_report("r-1", 6.0), 6.0)
+    assert restarted_ledger.complete_windows(frozenset({"e-1"}), 6.0) == ()
     counter.confirm("r-1", receipt)
-    again.take("e-1", counter.pending_report("r-1", 6.4), 6.4)
-    assert again.complete(frozenset({"e-1"}), 6.4) == (0,)
-    assert again.counts(0) == {"a": 1}
+    restarted_ledger.take("e-1", counter.pending_report("r-1", 6.4), 6.4)
+    assert restarted_ledger.complete_windows(frozenset({"e-1"}), 6.4) == (0,)
+    assert restarted_ledger.counts(0) == {"a": 1}
 
 
 @pytest.mark.parametrize(("hosts", "messages_a_second"), [(10, 25), (80, 200), (394, 200)])
@@ -105,18 +105,18 @@
 
 
 def test_a_window_stays_open_until_it_is_known_whether_its_calls_ran(counter, ledger):
-    """A call was sent in one window and answered in the next, which its host had told meanwhile.
+    """A call is sent in one window and answered in the next, after a report of its host.
 
-    It was counted in the window that was over by then, and missing in the report: 19 of 20.
+    If its window were closed by then, the call would be missing in the report (19 of 20).
     """
     send = counter.record_sent("a", 4.99)
     rejected = counter.record_sent("b", 4.98)
     ledger.take("e-1", counter.pending_report("r-1", 5.01), 5.01)
-    assert ledger.complete(frozenset({"e-1"}), 5.01) == ()
+    assert ledger.complete_windows(frozenset({"e-1"}), 5.01) == ()
     counter.record_outcome(send, has_started=True)
     counter.record_outcome(rejected, has_started=False)
     ledger.take("e-1", counter.pending_report("r-1", 5.2), 5.2)
-    assert ledger.complete(frozenset({"e-1"}), 5.2) == (0,)
+    assert ledger.complete_windows(frozenset({"e-1"}), 5.2) == (0,)
     assert ledger.counts(0) == {"a": 1}
 
 
@@ -134,65 +134,65 @@
 
 def test_counts_are_summed_over_hosts_and_starts_and_duplicates_have_no_effect(ledger):
     for _ in range(2):
-        ledger.take("e-1", _told({0: {"a": 2}}, 1, boot=1), 0.0)
-        ledger.take("e-1", _told({0: {"a": 1, "b": 1}}, 1, boot=2), 0.0)
-        ledger.take("e-2", _told({0: {"a": 4}}, 1), 0.0)
-    # An older message that comes late.
-    ledger.take("e-2", _told({0: {"a": 3}}, 0), 0.0)
+        ledger.take("e-1", _usage_told({0: {"a": 2}}, 1, boot=1), 0.0)
+        ledger.take("e-1", _usage_told({0: {"a": 1, "b": 1}}, 1, boot=2), 0.0)
+        ledger.take("e-2", _usage_told({0: {"a": 4}}, 1), 0.0)
+    # A delayed older message.
+    ledger.take("e-2", _usage_told({0: {"a": 3}}, 0), 0.0)
     assert ledger.counts(0) == {"a": 7, "b": 1}
 
 
 def test_a_window_is_complete_once_every_host_is_past_it(ledger):
-    ledger.take("e-1", _told({0: {"a": 1}}, 1), 0.0)
-    ledger.take("e-2", _told({}, 0), 0.0)
-    assert ledger.complete(HOSTS, 1.0) == ()
-    ledger.take("e-2", _told({}, 1), 1.0)
-    assert ledger.complete(HOSTS, 1.0) == (0,)
+    ledger.take("e-1", _usage_told({0: {"a": 1}}, 1), 0.0)
+    ledger.take("e-2", _usage_told({}, 0), 0.0)
+    assert ledger.complete_windows(HOSTS, 1.0) == ()
+    ledger.take("e-2", _usage_told({}, 1), 1.0)
+    assert ledger.complete_windows(HOSTS, 1.0) == (0,)
 
 
 def test_a_window_waits_for_a_suspended_host_only_until_the_straggler_timeout(ledger):
-    ledger.take("e-1", _told({0: {"a": 1}}, 1), 0.0)
-    assert ledger.complete(HOSTS, usage_ledger.STRAGGLER_TIMEOUT_S - 0.1) == ()
-    assert ledger.complete(HOSTS, usage_ledger.STRAGGLER_TIMEOUT_S) == (0,)
+    ledger.take("e-1", _usage_told({0: {"a": 1}}, 1), 0.0)
+    assert ledger.complete_windows(HOSTS, usage_ledger.STRAGGLER_TIMEOUT_S - 0.1) == ()
+    assert ledger.complete_windows(HOSTS, usage_ledger.STRAGGLER_TIMEOUT_S) == (0,)
 
 
-def test_the_first_counts_of_a_window_stay(log):
-    assert log.apply(duty_state.FixUsage(3, {"a": 1})) is not None
-    assert log.apply(duty_state.FixUsage(3, {"a": 2})) is None
-    assert log.usage_by_window[3].count_by_account == {"a": 1}
+def test_the_first_counts_of_a_window_stay(state):
+    assert state.apply(duty_state.FixUsage(3, {"a": 1})) is not None
+    assert state.apply(duty_state.FixUsage(3, {"a": 2})) is None
+    assert state.usage_by_window[3].count_by_account == {"a": 1}
 
 
-def test_an_evicted_window_is_not_fixed_again(log):
-    log.apply(duty_state.FixUsage(3, {"a": 1}))
-    log.apply(duty_state.FixUsage(3 + duty_state.RETAINED_WINDOWS, {"a": 1}))
-    assert 3 not in log.usage_by_window
-    assert not log.may_fix(3)
+def test_an_evicted_window_is_not_fixed_again(state):
+    state.apply(duty_state.FixUsage(3, {"a": 1}))
+    state.apply(duty_state.FixUsage(3 + duty_state.RETAINED_WINDOWS, {"a": 1}))
+    assert 3 not in state.usage_by_window
+    assert not state.may_fix(3)
 
 
-def test_a_snapshot_holds_windows_and_the_fence(log):
-    log.apply(duty_state.FixUsage(3, {"a": 1}))
-    log.apply(duty_state.UsageReported(3))
+def test_a_snapshot_holds_windows_and_the_fence(state):
+    state.apply(duty_state.FixUsage(3, {"a": 1}))
+    state.apply(duty_state.UsageReported(3))
     restored = duty_state.DutyState()
-    restored.restore(log.snapshot())
-    assert restored.usage_by_window == log.usage_by_window
+    restored.restore(state.snapshot())
+    assert restored.usage_by_window == state.usage_by_window
 
 
-def test_a_window_is_sent_only_once_its_counts_are_fixed(duty, log, ledger):
-    ledger.take("e-1", _told({0: {"a": 1}}, 1), 0.0)
-    ledger.take("e-2", _told({}, 1), 0.0)
+def test_a_window_is_sent_only_once_its_counts_are_fixed(duty, state, ledger):
+    ledger.take("e-1", _usage_told({0: {"a": 1}}, 1), 0.0)
+    ledger.take("e-2", _usage_told({}, 1), 0.0)
     (fix,) = duty.windows_to_fix(ledger, HOSTS, 1.0)
     assert duty.next_report(1.0) is None
-    # Until the log has taken it, it is asked again only after a while.
+    # Until the log has applied it, it is proposed again only after ``FIX_RETRY_S``.
     assert duty.windows_to_fix(ledger, HOSTS, 1.1) == ()
-    log.apply(fix)
-    ledger.take("e-2", _told({0: {"a": 9}}, 1), 1.2)
+    state.apply(fix)
+    ledger.take("e-2", _usage_told({0: {"a": 9}}, 1), 1.2)
     assert duty.windows_to_fix(ledger, HOSTS, 5.0) == ()
     assert duty.next_report(1.2) == duty_types.ReportUsage(0, {"a": 1})
 
 
-def test_failed_reports_are_retried_with_backoff_oldest_first(duty, log):
-    log.apply(duty_state.FixUsage(4, {"a": 1}))
-    log.apply(duty_state.FixUsage(5, {"a": 2}))
+def test_failed_reports_are_retried_with_backoff_oldest_first(duty, state):
+    state.apply(duty_state.FixUsage(4, {"a": 1}))
+    state.apply(duty_state.FixUsage(5, {"a": 2}))
     now, pauses = 0.0, []
     for _ in range(8):
         report = duty.next_report(now)
@@ -206,7 +206,7 @@
     assert max(pauses) <= usage_duty.MAX_BACKOFF_S + 0.1
     assert pauses[-1] > 4 * pauses[0]
     done = duty.on_call_end(duty.next_report(now), duty_types.CallEnd.DONE, now)
-    log.apply(done)
+    state.apply(done)
     assert duty.next_report(now).window == 5
 
 
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -1,4 +1,4 @@
-"""Three would-be holders, one log and a few engines in virtual time, for the tests of orders."""
+"""Simulation of three lease holders, one log and a few engines in virtual time."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sent:
-    """Hold an order on its way; ``at`` is the true time at which it left."""
+    """An order in flight; ``at`` is the simulation time at which it was sent."""
 
     holder: Holder
     at: float
@@ -49,7 +49,7 @@
 
 
 class Engine:
-    """Carry orders out and remember them; a restart forgets everything."""
+    """Engine that executes and records orders; a restart clears its state."""
 
     def __init__(self, engine_id: str, *, checks_fence: bool) -> None:
         self.engine_id = engine_id
@@ -73,10 +73,10 @@
 
     def state(self) -> order_types.EngineState:
         held = tuple(order_types.LoadedWeights(*item) for item in self.held.items())
-        taken = tuple(order.order_id for order in self.executed) if self.checks_fence else ()
-        return order_types.EngineState(self.incarnation, held, self.role, "", taken)
+        order_ids = tuple(order.order_id for order in self.executed) if self.checks_fence else ()
+        return order_types.EngineState(self.incarnation, held, self.role, "", order_ids)
 
-    def take(self, order: order_types.OrderEngine) -> order_types.OrderResult:
+    def execute(self, order: order_types.OrderEngine) -> order_types.OrderResult:
         if self.checks_fence:
             if order.fence < self.fence:
                 return order_types.OrderResult.REFUSED_FENCE
@@ -98,23 +98,25 @@
 
 
 class Holder:
-    """Run one lease and planner on a clock of its own; may be frozen at any point."""
+    """Process with a lease and a planner on its own clock; can be suspended at any point."""
 
-    def __init__(self, world: World, name: str, *, rate: float, offset: float) -> None:
-        self.world = world
+    def __init__(
+        self, simulation: OrderSimulation, name: str, *, clock_rate: float, offset: float
+    ) -> None:
+        self.simulation = simulation
         self.name = name
-        self.rate = rate
+        self.clock_rate = clock_rate
         self.offset = offset
         self.starts = 0
         self.restart()
 
     def clock(self) -> float:
-        return self.offset + self.rate * self.world.now
+        return self.offset + self.clock_rate * self.simulation.now
 
     def restart(self) -> None:
-        """Start anew: the log is applied again, everything else is forgotten."""
+        """Restart: the log is replayed, all other state is lost."""
         self.starts += 1
-        self.frozen = False
+        self.is_suspended = False
         self.inbox: list[Any] = []
         self.outbox: list[Any] = []
         self.identity = f"{self.name}/{self.starts}"
@@ -124,22 +126,22 @@
         self.lease = fenced_lease.FencedLease(settings)
         self.table = lease_table.LeaseTable()
         self.board = orders.OrderBoard()
-        for command in self.world.log:
+        for command in self.simulation.log:
             self._apply(command)
         self.upstreams = inventory.Inventory()
-        report = tuple(engine.notice() for engine in self.world.engines)
+        report = tuple(engine.notice() for engine in self.simulation.engines)
         self.upstreams.apply(inventory.InventoryReport("entry", report, whole=True))
         self.planner = order_planner.OrderPlanner(
             PLANNER, lease=self.lease, board=self.board, upstreams=self.upstreams
         )
-        self.take(node.Started())
+        self.handle_event(node.Started())
 
-    def take(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         self.inbox.append(event)
         self.run()
 
     def run(self) -> None:
-        while not self.frozen and (self.outbox or self.inbox):
+        while not self.is_suspended and (self.outbox or self.inbox):
             if self.outbox:
                 self._perform(self.outbox.pop(0))
             else:
@@ -150,18 +152,18 @@
             reply = self._apply(event)
             released = isinstance(event, lease_types.ReleaseLease)
             if event.holder == self.identity and not released:
-                took = isinstance(event, lease_types.TakeLease)
-                kind = lease_types.TakeCommitted if took else lease_types.RenewCommitted
-                self._give(kind(event.attempt, reply))
+                is_take = isinstance(event, lease_types.TakeLease)
+                kind = lease_types.TakeCommitted if is_take else lease_types.RenewCommitted
+                self._deliver(kind(event.attempt, reply))
         elif isinstance(event, order_types.BoardCommand):
-            self._give(order_types.BoardCommitted(event, self._apply(event)))
+            self._deliver(order_types.BoardCommitted(event, self._apply(event)))
         elif isinstance(event, inventory.InventoryReport):
             for upstream_id in self.upstreams.apply(event):
-                self._give(order_types.InventoryChanged(upstream_id))
+                self._deliver(order_types.InventoryChanged(upstream_id))
         else:
-            self._give(event)
+            self._deliver(event)
 
-    def _give(self, event: Any) -> None:
+    def _deliver(self, event: Any) -> None:
         now = self.clock()
         for action in self.lease.handle(event, now):
             if isinstance(action, lease_types.Acquired | lease_types.Lost):
@@ -179,26 +181,26 @@
     def _perform(self, action: Any) -> None:
         match action:
             case lease_types.Propose(command) | order_types.ProposeCommand(command):
-                self.world.proposals.append(command)
+                self.simulation.proposals.append(command)
             case order_types.OrderEngine():
                 now = self.clock()
                 held = self.lease.may_act(now) and self.lease.fence == action.fence
                 if held and now < action.not_after:  # as order_client does
-                    self.world.sent.append(Sent(self, self.world.now, action))
+                    self.simulation.sent.append(Sent(self, self.simulation.now, action))
                 else:
                     done = order_types.OrderDone(action.order_id, order_types.OrderResult.FAILED)
                     self.inbox.append(done)
             case order_types.ReadEngineState(upstream_id, _, number):
-                state = self.world.engine_by_id[upstream_id].state()
-                self.world.reads.append(
+                state = self.simulation.engine_by_id[upstream_id].state()
+                self.simulation.reads.append(
                     (self, order_types.EngineStateRead(upstream_id, number, state))
                 )
             case order_types.Deposed():
                 self.inbox.append(lease_types.Stopping())
 
 
-class World:
-    """Hold true time, the log, what is on its way, the holders and the engines."""
+class OrderSimulation:
+    """Simulation time, the log, messages in flight, the holders and the engines."""
 
     def __init__(
         self,
@@ -217,23 +219,23 @@
             Engine("plain-1", checks_fence=False),
             Engine("plain-2", checks_fence=False),
         ]
-        self.share = max(1, int(desired.max_unavailable * len(self.engines)))
+        self.max_out_of_service = max(1, int(desired.max_unavailable * len(self.engines)))
         self.engine_by_id = {engine.engine_id: engine for engine in self.engines}
         self.holders: list[Holder] = []
         self.holders = [
-            Holder(self, "a", rate=1.0, offset=0.0),
-            Holder(self, "b", rate=1 - DRIFT, offset=5_000.0),
-            Holder(self, "c", rate=1 + DRIFT, offset=-50.0),
+            Holder(self, "a", clock_rate=1.0, offset=0.0),
+            Holder(self, "b", clock_rate=1 - DRIFT, offset=5_000.0),
+            Holder(self, "c", clock_rate=1 + DRIFT, offset=-50.0),
         ]
         self.proposals.append(order_types.Declare(desired))
         self.commit(len(self.proposals) - 1)
 
     def commit(self, index: int, *, keep: bool = False) -> None:
-        """Append a proposal to the log; ``keep`` leaves a copy that may commit again."""
+        """Append a proposal to the log; ``keep`` leaves a duplicate that may commit again."""
         command = self.proposals[index] if keep else self.proposals.pop(index)
         self.log.append(command)
         for holder in self.holders:
-            holder.take(command)
+            holder.handle_event(command)
 
     def advance(self, seconds: float) -> None:
         self.now += seconds
@@ -241,48 +243,48 @@
             self.sent.remove(sent)
             self._answer(sent, order_types.OrderResult.UNKNOWN)
         for holder in self.holders:
-            holder.take(node.TimeDue())
+            holder.handle_event(node.TimeDue())
 
     def deliver(self, index: int, *, keep: bool = False, lose_answer: bool = False) -> None:
         sent = self.sent[index]
         engine = self.engine_by_id[sent.order.upstream_id]
         if not (keep and engine.checks_fence):
             self.sent.pop(index)
-        result = engine.take(sent.order)
+        result = engine.execute(sent.order)
         unknown = order_types.OrderResult.UNKNOWN
         self._answer(sent, unknown if lose_answer else result)
 
     def lose_answer_early(self, index: int) -> None:
-        """Tell the sender that the result is unknown while the order is still on its way."""
+        """Report an unknown result to the sender while the order is still in flight."""
         self._answer(self.sent[index], order_types.OrderResult.UNKNOWN)
 
     def answer_read(self, index: int, *, lost: bool = False, keep: bool = False) -> None:
         holder, done = self.reads[index] if keep else self.reads.pop(index)
-        holder.take(dataclasses.replace(done, state=None) if lost else done)
+        holder.handle_event(dataclasses.replace(done, state=None) if lost else done)
 
     def restart_engine(self, index: int) -> None:
         engine = self.engines[index]
-        # A copy of an order that was carried out came over a connection that ends here.
+        # A duplicate of an executed order came over a connection that the restart closes.
         done = {order.order_id for order in engine.executed}
         self.sent = [sent for sent in self.sent if sent.order.order_id not in done]
         engine.restart()
         for holder in self.holders:
-            holder.take(inventory.InventoryReport("entry", (engine.notice(),)))
+            holder.handle_event(inventory.InventoryReport("entry", (engine.notice(),)))
 
     def settle(self, limit: int = 4_000) -> bool:
-        """End all faults and run on; return whether the desired state was reached."""
+        """End all faults and continue; return whether the desired state was reached."""
         for holder in self.holders:
-            holder.frozen = False
-            holder.take(lease_types.LeadershipWon())
+            holder.is_suspended = False
+            holder.handle_event(lease_types.LeadershipWon())
         for _ in range(limit):
-            if not (self.proposals or self.reads or self.sent) and self.reached():
+            if not (self.proposals or self.reads or self.sent) and self.is_desired_state_reached():
                 return True
             self.step()
             self.check()
         return False
 
     def step(self) -> None:
-        """Do the next thing without a fault."""
+        """Run the next event without faults."""
         if self.proposals:
             self.commit(0)
         elif self.reads:
@@ -292,25 +294,25 @@
         else:
             self.advance(0.1)
 
-    def reached(self) -> bool:
+    def is_desired_state_reached(self) -> bool:
         wanted = {weights.name: weights.version for weights in self.desired.weights}
         return all(
             e.held == wanted and e.role == self.desired.role for e in self.engines
         ) and not any(holder.board.out_of_service for holder in self.holders)
 
     def check(self) -> None:
-        """Check what must hold at every moment."""
+        """Check the invariants."""
         acting = [h.identity for h in self.holders if h.lease.may_act(h.clock())]
         assert len(acting) <= 1, f"two holders may act: {acting}"
         for engine in self.engines:
             fences = [order.fence for order in engine.executed]
-            assert fences == sorted(fences), f"{engine.engine_id}: older after newer: {fences}"
+            assert fences == sorted(fences), f"{engine.engine_id}: fence decreased: {fences}"
             ids = [order.order_id for order in engine.executed]
-            assert len(ids) == len(set(ids)), f"{engine.engine_id}: order twice: {ids}"
+            assert len(ids) == len(set(ids)), f"{engine.engine_id}: order executed twice: {ids}"
             assert not engine.repeated_effects, f"{engine.engine_id}: {engine.repeated_effects}"
         for holder in self.holders:
-            assert len(holder.board.out_of_service) <= self.share
+            assert len(holder.board.out_of_service) <= self.max_out_of_service
 
     def _answer(self, sent: Sent, result: order_types.OrderResult) -> None:
         if sent.holder in self.holders:
-            sent.holder.take(order_types.OrderDone(sent.order.order_id, result))
+            sent.holder.handle_event(order_types.OrderDone(sent.order.order_id, result))
--- a/tests/processes/test_control_loss.py
+++ b/tests/processes/test_control_loss.py
@@ -1,4 +1,4 @@
-"""Freeze, kill and wipe control replicas while configuration changes and claims go on."""
+"""Tests that freeze, kill and wipe control replicas during configuration changes and claims."""
 
 import hashlib
 import socket
@@ -13,9 +13,9 @@
 
 CHANGES = 500
 SEVERAL_ELECTIONS_S = 7.0
-"""An election begins after 2 s without a leader at the latest."""
+"""An election starts after at most 2 s without a leader."""
 SEVERAL_HEARTBEATS_S = 5.0
-"""An entry host asks a replica each second."""
+"""An entry host sends a heartbeat each second."""
 
 
 def _renamed(configuration, name):
@@ -23,7 +23,7 @@
 
 
 def _change(deployment, new_key, name):
-    """Accept one more change and return its revision."""
+    """Apply another change and return its revision."""
     operator = deployment.operator
     base, configuration = operator.configuration()
     answer = operator.change(new_key(), base, _renamed(configuration, name))
@@ -32,25 +32,29 @@
 
 
 def _revisions(deployment):
-    """Return what each entry host says of its revision; None where nothing answered."""
-    found = {}
+    """Return the revision of each entry host; None for one that did not answer."""
+    revision_by_name = {}
     for name in deployment.entry_names:
         key = local_deployment.OPERATOR_KEY
         answer = callers.try_ask(deployment.address(name), "GET", "/v1/status", key=key)
-        found[name] = None if answer is None else answer.json["revision"]
-    return found
+        revision_by_name[name] = None if answer is None else answer.json["revision"]
+    return revision_by_name
 
 
 def _assert_never_back(seen):
-    """Check that no entry host's revision ever became lower."""
+    """Check that no entry host's revision ever decreased."""
     assert seen
     for name in seen[0]:
-        revisions = [found[name] for found in seen if found[name] is not None]
+        revisions = [
+            revision_by_name[name]
+            for revision_by_name in seen
+            if revision_by_name[name] is not None
+        ]
         assert revisions == sorted(revisions), (name, revisions)
 
 
-class AskedWhileFrozen:
-    """Send a request to a frozen replica, and read the answer it gives once it goes on."""
+class RequestWhileFrozen:
+    """A request sent to a frozen replica, whose response is read after it is resumed."""
 
     def __init__(self, deployment, name, path):
         netloc = urllib.parse.urlsplit(deployment.address(name)).netloc
@@ -86,20 +90,20 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        # The command names its change just before it sends it.
+        # The command prints the id of its change just before it sends it.
         assert applying.stderr.readline().startswith("change_id=")
         deployment.processes.freeze(old_leader)
         output, errors = applying.communicate(timeout=60)
         assert applying.returncode == 0, errors
         assert "accepted as revision 2" in output
-        asked = [
-            AskedWhileFrozen(deployment, old_leader, path)
+        requests = [
+            RequestWhileFrozen(deployment, old_leader, path)
             for path in ["/v1/configuration", "/v1/history", "/v1/status"] * 5
         ]
 
         deployment.processes.thaw(old_leader)
 
-        for request in asked:
+        for request in requests:
             _assert_not_old(*request.status_and_body())
         deployment.wait(
             lambda: deployment.control_status(old_leader)["revision"] == 2, "the old leader's log"
@@ -110,12 +114,12 @@
 
 
 def _assert_not_old(status, body):
-    """Check an answer of a replica that led at revision 1 while the others went to 2."""
+    """Check a response of a replica that led at revision 1 while the others went to 2."""
     text = body.decode()
     if status != 200:
         assert status in (421, 503), text
         return
-    # A replica's own status may say that its log is behind, but not that it leads with it.
+    # A replica's own status may show an old revision, but not as the leader.
     assert '"has_lease":false' in text or '"revision":2' in text, text
 
 
@@ -150,7 +154,7 @@
 
 
 def _wait_for_full_voter(deployment, name):
-    """Wait until the leader counts a replica as a voter that holds all there is."""
+    """Wait until the leader counts a replica as a voter and its log is complete."""
 
     def _is_full():
         leader = deployment.leader()
@@ -217,7 +221,7 @@
     leader = deployment.wait_for_leader()
     follower, behind = (name for name in deployment.control_names if name != leader)
     wiped, holder = (leader, follower) if wipes_leader else (follower, leader)
-    # Only frozen, it would find the change in its socket when it goes on.
+    # If it were only frozen, it would receive the change from its socket when it resumes.
     deployment.processes.kill(behind)
     assert _change(deployment, new_key, "accepted") == 2
     change_id = deployment.operator.history()[2]
@@ -251,17 +255,17 @@
 
 
 def _leave_behind(deployment, new_key):
-    """Isolate the leader during several changes, and return it, frozen.
+    """Isolate the leader during several changes, and return it, still frozen.
 
-    The newest revision does not know the callers' key; every older one does. The first entry
-    host is killed, and will ask the old leader first of all.
+    The newest revision has no account with the callers' key; every older one has. The first entry
+    host is killed, and will contact the old leader first.
     """
     behind = deployment.wait_for_leader()
     deployment.ask_first("entry-1", behind)
     deployment.processes.freeze(behind)
     for name in deployment.control_names:
         if name != behind:
-            # Nothing may wait in the frozen replica's socket that tells it of the others.
+            # No message that reveals the others may be queued in the frozen replica's socket.
             deployment.processes.kill(name)
             deployment.cut_link(name, behind)
             deployment.restart(name)
@@ -278,7 +282,7 @@
 
 
 def _serves_only_the_newest(deployment, name, statuses):
-    """Send a request with the old key and note its status; return whether it was refused."""
+    """Send a request with the old key and record its status; return whether it was refused."""
     answer = callers.try_ask(deployment.address(name), "GET", "/services/desk/search/x")
     if answer is not None:
         statuses.append(answer.status)
@@ -394,7 +398,7 @@
         for address in deployment.entry_addresses:
             assert callers.search(address).outcome == "completed"
         keys.append(new_key())
-        # Much less than the deadline of the call's class.
+        # Far below the deadline of the call's class.
         refused = callers.hold(deployment.address("entry-2"), keys[-1], limit_s=10.0)
         assert (refused.status, refused.outcome) == (503, "not_run"), refused
         assert "retry-after" in refused.headers
--- a/tests/processes/test_duties.py
+++ b/tests/processes/test_duties.py
@@ -1,4 +1,4 @@
-"""Singleton duties of real processes: holders that are killed, stand still, or start again."""
+"""Singleton duties of real processes: holders that are killed, suspended or restarted."""
 
 import signal
 import time
@@ -9,8 +9,8 @@
 
 WINDOW_S = 1.0
 LEASE_S = 2.0
-SETTLED_S = 30.0
-"""Time in which a new holder has reported all, in seconds: an election, the old lease, a window,
+REPORT_TIMEOUT_S = 30.0
+"""Timeout for a new holder to report everything, in seconds: an election, the old lease, a window,
 and a busy machine."""
 
 
@@ -45,12 +45,12 @@
         time.sleep(0.05)
 
 
-def _until_reported(platform, requests):
-    end_at = time.monotonic() + SETTLED_S
+def _wait_until_reported(platform, requests):
+    end_at = time.monotonic() + REPORT_TIMEOUT_S
     while platform.reported < requests:
         assert time.monotonic() < end_at, f"{platform.reported} of {requests} were reported"
         time.sleep(0.1)
-    # What were reported twice would come now.
+    # Duplicate reports would arrive now.
     time.sleep(2 * WINDOW_S)
     assert platform.reported == requests
     assert platform.faults == []
@@ -59,27 +59,27 @@
 @pytest.mark.parametrize("stop", [signal.SIGKILL, signal.SIGSTOP], ids=["killed", "frozen"])
 def test_another_replica_takes_over_once_the_lease_of_the_holder_expires(fleet, platform, stop):
     _call(fleet, 20)
-    _until_reported(platform, 20)
+    _wait_until_reported(platform, 20)
     holder, fence = platform.holder, platform.fence
     fleet.process_by_host[holder].send_signal(stop)
     stopped_at = time.monotonic()
     _call(fleet, 40)
-    _until_reported(platform, 60)
+    _wait_until_reported(platform, 60)
     assert platform.fence > fence
     first_at = min(at for at, other, _ in platform.calls if other != holder)
     assert first_at > stopped_at + LEASE_S / 2
     if stop == signal.SIGSTOP:
         fleet.process_by_host[holder].send_signal(signal.SIGCONT)
         _call(fleet, 20)
-        _until_reported(platform, 80)
+        _wait_until_reported(platform, 80)
 
 
 def test_after_a_full_restart_fences_increase_and_reports_stay(fleet, platform):
     _call(fleet, 20)
-    _until_reported(platform, 20)
+    _wait_until_reported(platform, 20)
     fence = platform.fence
     fleet.restart_all()
     fleet.until_known()
     _call(fleet, 20)
-    _until_reported(platform, 40)
+    _wait_until_reported(platform, 40)
     assert platform.fence > fence
--- a/tests/processes/test_orders.py
+++ b/tests/processes/test_orders.py
@@ -1,4 +1,4 @@
-"""Order engines while the control leader is killed."""
+"""Orders to engines while the control leader is killed or suspended."""
 
 import json
 import re
@@ -15,7 +15,7 @@
 weight_bytes_per_second = 4e6
 """
 LOAD_BYTES = 3_000_000
-"""Three seconds at one lane's rate."""
+"""Size of a load that takes three seconds at one lane's rate."""
 
 CHECKS, PLAIN = "engine-checks", "engine-plain"
 ENGINES = (CHECKS, PLAIN)
@@ -23,7 +23,7 @@
 
 
 class Orders:
-    """Declare what engines should hold, and look at what they do."""
+    """Declares desired states and reads orders and engine states."""
 
     def __init__(self, deployment, new_key):
         self.deployment = deployment
@@ -51,10 +51,10 @@
         self.deployment.wait(lambda: all(condition(self.state(n)) for n in ENGINES), what, limit_s)
 
     def wait_settled(self):
-        self.deployment.wait(lambda: not self.listed()["in_progress"], "results on the board")
+        self.deployment.wait(lambda: not self.listed()["in_progress"], "all results to be recorded")
 
     def sent_by_engine(self):
-        """Return the ids of the orders that all control replicas' logs say were sent."""
+        """Return the ids of sent orders by engine, from the logs of all control replicas."""
         sent = {name: [] for name in ENGINES}
         for control in self.deployment.control_names:
             log = (self.deployment.folder / f"{control}.log").read_text()
@@ -120,7 +120,7 @@
     assert all(len(set(ids)) == len(ids) == 2 for ids in sent.values()), sent
 
     orders.declare(weights=weights("other", "v1"), role="decode")
-    orders.wait_for("a further load", holds("other", "v1"))
+    orders.wait_for("another load", holds("other", "v1"))
     orders.wait_for("the role", lambda state: state["role"] == "decode")
     deployment.wait(lambda: not orders.listed()["out_of_service"], "both back in service")
     assert orders.state(CHECKS)["highest_fence"] == orders.listed()["fence"]
--- a/tests/routed/conftest.py
+++ b/tests/routed/conftest.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def make_route():
-    """Return a maker of routes to the service ``engines``."""
+    """Return a factory of routes to the service ``engines``."""
 
     def make(**changes):
         values = {
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def make_announcement():
-    """Return a maker of announcements."""
+    """Return a factory of upstream announcements."""
 
     def make(upstream_id="u-1", **changes):
         values = {
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def make_place_request():
-    """Return a maker of questions to the owner of placement."""
+    """Return a factory of placement requests."""
 
     def make(ticket_id="t-1", parts=(), **changes):
         values = {"service": "engines", "tier": 0, "left_ms": 1000.0, "zone": "z1"}
--- a/tests/routed/coordinator_cluster.py
+++ b/tests/routed/coordinator_cluster.py
@@ -1,7 +1,8 @@
-"""Run coordinators in virtual time: their links, disks and clocks are simulated.
+"""Simulation of coordinators in virtual time, with simulated links, disks and clocks.
 
-A disk keeps any part of the writes since its last sync when its power is lost; the journal's own
-tests show that what is whole before the first hole is what comes back.
+At a power loss a real disk may keep any part of the writes since its last sync, a simulated one
+keeps the first few: the journal's own tests show that recovery returns what is complete before the
+first gap.
 """
 
 import json
@@ -24,7 +25,7 @@
 
 
 class Disk(replica_cluster.Disk):
-    """Keep synced and unsynced writes apart; a full one syncs nothing."""
+    """Disk with synced and unsynced writes; a full disk syncs nothing."""
 
     def __init__(self):
         super().__init__()
@@ -32,7 +33,7 @@
 
 
 class Host:
-    """Hold one coordinator, its disk and its clock."""
+    """One coordinator with its disk and its clock."""
 
     def __init__(self, replica_id):
         self.replica_id = replica_id
@@ -43,7 +44,7 @@
 
 
 class Cluster:
-    """Hold the coordinators and what operators and upstreams were told."""
+    """Coordinators, and the replies that operators and upstreams received."""
 
     def __init__(self, seeds=("a", "b", "c"), others=("d", "e"), seed=0, duties=NO_DUTIES):
         self.duties = duties
@@ -57,7 +58,7 @@
         self.operations = 0
         self.acknowledged = 0
         self.sent_body_by_version = {}
-        self.speaks = operations_format.OwnFormat(http_port=1)
+        self.api_format = operations_format.OwnFormat(http_port=1)
         for replica_id in (*seeds, *others):
             self.start(replica_id, may_found=True)
 
@@ -66,7 +67,7 @@
         host.suspended = None
         seeds = seeds or self.seeds
         founders = seeds if may_found and replica_id in seeds else ()
-        part = replica.Replica(
+        log_replica = replica.Replica(
             replica_id=replica_id,
             initial_voters=replica_types.Voters(founders),
             restored=host.disk.restored(),
@@ -76,17 +77,17 @@
         host.node = coordinator.Coordinator(
             replica_id=replica_id,
             boot=self.random.getrandbits(40) + 1,
-            part=part,
+            log_replica=log_replica,
             seeds=seeds,
             announce_period_s=PERIOD_S,
             ttl_s=2.0,
-            decode=self.speaks.decode_routing,
+            decode=self.api_format.decode_routing,
             duties=self.duties,
         )
         self.post(replica_id, node.Started())
 
     def kill(self, replica_id, *, kept_writes=0):
-        """Stop a process; of its unsynced writes the first few reach the disk all the same."""
+        """Kill a process; the first ``kept_writes`` of its unsynced writes still reach the disk."""
         host = self.host_by_id[replica_id]
         for _ in range(min(kept_writes, len(host.disk.pending))):
             host.disk.sync_one()
@@ -99,12 +100,12 @@
         self.host_by_id[replica_id].disk = Disk()
 
     def remove(self, replica_id):
-        """Take a machine away for good."""
+        """Remove a host permanently."""
         self.kill(replica_id)
         del self.host_by_id[replica_id]
 
     def suspend(self, replica_id):
-        """Stand still; the clock goes on, and what arrives waits."""
+        """Suspend a process; the clock advances, and its events are queued."""
         host = self.host_by_id[replica_id]
         if host.suspended is None:
             host.suspended = []
@@ -154,7 +155,7 @@
             self.step()
 
     def ask(self, replica_id, operation, *, within_s=2.0):
-        """Return the reply to an operation, or None if there is none in time."""
+        """Return the reply to an operation, or None if there is none within the time."""
         self.operations += 1
         operation_id = self.operations
         self.post(replica_id, coordinator_types.OperationReceived(operation_id, operation))
@@ -165,7 +166,7 @@
         return self.reply_by_operation.get(operation_id)
 
     def ask_leader(self, replica_id, operation):
-        """Ask a replica, and follow it twice to the leader that it names."""
+        """Send an operation to a replica, following up to two redirects to the leader."""
         reply = None
         for _ in range(3):
             reply = self.ask(replica_id, operation)
@@ -175,7 +176,7 @@
         return reply
 
     def put(self, replica_id, version, mark=""):
-        """Put a version as operators do; the mark tells contents of one number apart."""
+        """Put a version as operators do; the mark distinguishes contents of the same number."""
         body = json.dumps({"version": version, "accounts": [{"name": f"m{mark}"}]}).encode()
         bodies = self.sent_body_by_version.setdefault(version, [])
         bodies.append(body)
@@ -185,7 +186,7 @@
         return reply
 
     def read(self, replica_id):
-        """Read the newest version, and check it against all that was acknowledged before."""
+        """Read the newest version, and check that no acknowledged version was lost."""
         known = self.acknowledged
         reply = self.ask_leader(replica_id, coordinator_types.GetRouting())
         if isinstance(reply, coordinator_types.RoutingFound):
@@ -194,7 +195,7 @@
         return reply
 
     def until_read(self, seconds=30.0):
-        """Run until every running replica leads to the newest version."""
+        """Run until reads through every replica return a version."""
         end_at = self.time + seconds
         while self.time < end_at:
             self.run(0.2)
--- a/tests/routed/placement_helpers.py
+++ b/tests/routed/placement_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of placement share: a declared engine, a prompt, and short ways to answers."""
+"""Helpers of the placement tests: a declared engine, a prompt, shortcuts for answers and runs."""
 
 from medlarfork.placement import placement_messages, upstream_load
 from medlarfork.routes import routing
--- a/tests/routed/routed_harness.py
+++ b/tests/routed/routed_harness.py
@@ -1,4 +1,4 @@
-"""Run a whole routed deployment inside one test: replicas, an entry host, upstreams, callers."""
+"""Runs a routed deployment inside one test: replicas, an entry host, upstreams and callers."""
 
 import contextlib
 import dataclasses
@@ -27,25 +27,25 @@
 
 
 @dataclasses.dataclass
-class Seen:
-    """Hold one request as an upstream got it."""
+class ReceivedRequest:
+    """One request as an upstream received it."""
 
     head: http_server.RequestHead
     body: bytes
 
 
 class Upstream:
-    """Answer requests as a test says, and announce itself.
+    """A fake upstream that announces itself and answers requests with a function of the test.
 
-    An answer that the test's function leaves unfinished is cut.
+    An answer that the function leaves unfinished is aborted.
     """
 
-    def __init__(self, world, number, answer):
-        self.address = f"{world.network}.{100 + number}:{UPSTREAM_PORT}"
+    def __init__(self, deployment, number, answer):
+        self.address = f"{deployment.network}.{100 + number}:{UPSTREAM_PORT}"
         self.upstream_id = f"u-{number}"
         self.seen = []
         self.cancelled = 0
-        self._world = world
+        self._deployment = deployment
         self._answer = answer
         host = self.address.partition(":")[0]
         self._server = http_server.HttpServer(self._serve, host=host, port=UPSTREAM_PORT)
@@ -63,7 +63,7 @@
             "slots": 4,
             "sequence": 1,
         }
-        return await self._world.ask_control(
+        return await self._deployment.ask_control(
             0, "PUT", f"/v1/upstreams/{self.upstream_id}", json.dumps(announced | changes)
         )
 
@@ -71,7 +71,7 @@
         await self._server.close(within_s=0.0)
 
     async def _serve(self, exchange):
-        self.seen.append(Seen(exchange.head, await exchange.read_body()))
+        self.seen.append(ReceivedRequest(exchange.head, await exchange.read_body()))
         try:
             async with curio.TaskGroup(wait=any) as group:
                 answering = await group.spawn(self._answer, exchange)
@@ -85,7 +85,7 @@
 
 
 def echo_headers(exchange, **more):
-    """Return the headers of an answer that belongs to its request."""
+    """Return response headers with the id of the request."""
     attempt_id = exchange.head.headers.get(NAMES.attempt_id, "")
     return {NAMES.attempt_id: attempt_id, NAMES.seal: "seal-1"} | more
 
@@ -95,7 +95,7 @@
 
 
 class RoutedDeployment:
-    """Own the processes of a deployment, all in the test's own curio kernel."""
+    """The processes of a deployment, all in the test's own curio kernel."""
 
     def __init__(self, folder, replicas=3):
         self.network = f"127.{10 + os.getpid() % 200}.{next(_NETWORKS) % 250}"
@@ -113,7 +113,7 @@
         await self.start_entry()
 
     async def start_replica(self, replica_id, *, may_found=False):
-        given = coordinator_settings.CoordinatorSettings(
+        settings = coordinator_settings.CoordinatorSettings(
             replica_id=replica_id,
             serve=f"{replica_id}:{HTTP_PORT}",
             directory=f"{replica_id}:{DIRECTORY_PORT}",
@@ -125,17 +125,17 @@
         )
         api_format = operations_format.OwnFormat(http_port=HTTP_PORT)
         program = coordinator_program.CoordinatorProgram(
-            given,
+            settings,
             api_format=api_format,
             read_seeds=lambda: self.replica_ids[:3],
-            platform_api_format=platform_format.DefaultFormat(given.replica_id),
+            platform_api_format=platform_format.DefaultFormat(settings.replica_id),
         )
         await program.start()
         self.control_by_id[replica_id] = program
 
     async def start_entry(self):
         host = f"{self.network}.50"
-        given = gateway_settings.GatewaySettings(
+        settings = gateway_settings.GatewaySettings(
             entry_id=host,
             zone="z1",
             serve=f"{host}:{ENTRY_PORT}",
@@ -147,7 +147,7 @@
             grace_s=2.0,
         )
         self.entry = gateway_program.GatewayProgram(
-            given,
+            settings,
             names=NAMES,
             decode=operations_format.OwnFormat(http_port=HTTP_PORT).decode_routing,
             read_seeds=lambda: self.replica_ids[:3],
@@ -170,7 +170,7 @@
             await upstream.close()
 
     async def ask_control(self, number, method, target, body="", *, port=HTTP_PORT):
-        """Ask one replica, and the leader if it names one."""
+        """Send a request to one replica, and follow its redirect to the leader."""
         address = f"http://{self.replica_ids[number]}:{port}"
         for _ in range(3):
             response = await self.client.request(address, method, target, {}, body.encode())
@@ -181,7 +181,7 @@
         return answer
 
     def leader(self):
-        """Return the replica that leads."""
+        """Return the id of the leader."""
         (leader,) = (name for name, program in self.control_by_id.items() if program._node.leads)
         return leader
 
@@ -200,14 +200,14 @@
         await curio_world.until(lambda: len(self.entry._session.upstream_by_id) == count)
 
     async def call(self, path="/p/x", method="POST", body=b"q", **headers):
-        """Send a request as a caller does."""
+        """Send a request as a caller."""
         address = f"http://{self.network}.50:{ENTRY_PORT}"
         sent = {"host": "a.example", NAMES.attempt_id: "attempt-1"} | headers
         return await self.client.request(address, method, path, sent, body)
 
 
 def routing_body(version, *, accounts=(), **route):
-    """Return a version of the routing with one route, as operators send it."""
+    """Return a routing body with one route, as operators send it."""
     declared = {
         "name": "r",
         "host": "a.example",
@@ -225,13 +225,13 @@
 
 
 def run(folder, main, *, replicas=3):
-    """Run a test's body with a deployment that has started."""
+    """Run a test's body with a started deployment."""
 
-    async def in_world():
-        world = RoutedDeployment(folder, replicas)
+    async def run_main():
+        deployment = RoutedDeployment(folder, replicas)
         async with contextlib.AsyncExitStack() as stack:
-            stack.push_async_callback(world.close)
-            await world.start()
-            await main(world)
+            stack.push_async_callback(deployment.close)
+            await deployment.start()
+            await main(deployment)
 
-    curio_world.run(in_world)
+    curio_world.run(run_main)
--- a/tests/routed/test_backoff.py
+++ b/tests/routed/test_backoff.py
@@ -1,4 +1,4 @@
-"""Upstreams that turn requests away and ask the host for a pause."""
+"""Upstreams that reject requests and ask the entry host for a backoff."""
 
 import curio
 import pytest
@@ -11,7 +11,7 @@
 from tests.routed import placement_helpers, routed_harness
 
 NAMES = routed_harness.NAMES
-PAUSE_S = 1.5
+BACKOFF_S = 1.5
 
 
 @pytest.fixture
@@ -46,14 +46,16 @@
     watch.record_response(upstream_id, status, named, sent_at=0.0, attempt_id="a-1")
 
 
-def turn_away(pause_s=PAUSE_S, status=503, after_s=0.0):
-    async def answer_busy(exchange):
+def reject(backoff_s=BACKOFF_S, status=503, after_s=0.0):
+    async def answer_rejected(exchange):
         await curio.sleep(after_s)
-        more = {NAMES.not_executed: "1", "retry-after": str(pause_s)} if pause_s else {}
-        more = more or {NAMES.not_executed: "1"}
-        await exchange.respond(status, routed_harness.echo_headers(exchange, **more), b"")
+        extra_headers = (
+            {NAMES.not_executed: "1", "retry-after": str(backoff_s)} if backoff_s else {}
+        )
+        extra_headers = extra_headers or {NAMES.not_executed: "1"}
+        await exchange.respond(status, routed_harness.echo_headers(exchange, **extra_headers), b"")
 
-    return answer_busy
+    return answer_rejected
 
 
 def test_a_backoff_applies_only_to_the_host_that_was_rejected(
@@ -86,27 +88,27 @@
 def test_replicas_are_notified_of_a_backoff_before_the_next_request(watch, sent):
     answer(watch, retry_after="3")
     assert [replica_id for replica_id, _ in sent] == ["r1", "r2"]
-    (pause,) = sent[0][1].pauses
-    assert (pause.upstream_id, pause.entry_id) == ("u-1", "e-0")
-    assert 2.9 < pause.left_s <= 3.0
+    (backoff,) = sent[0][1].pauses
+    assert (backoff.upstream_id, backoff.entry_id) == ("u-1", "e-0")
+    assert 2.9 < backoff.left_s <= 3.0
 
 
 def test_a_restarted_host_is_sent_its_backoffs(watch, sent):
     answer(watch, retry_after="3")
-    desk = backpressure_manager.BackpressureManager()
-    desk.take(sent[0][1], 10.0)
-    (pause,) = desk.whole("e-0", 11.0).pauses
-    assert pause.left_s == pytest.approx(2.0, abs=0.1)
-    assert desk.whole("e-1", 11.0).is_empty
+    manager = backpressure_manager.BackpressureManager()
+    manager.take(sent[0][1], 10.0)
+    (backoff,) = manager.whole("e-0", 11.0).pauses
+    assert backoff.left_s == pytest.approx(2.0, abs=0.1)
+    assert manager.whole("e-1", 11.0).is_empty
     again = backpressure_tracker.BackpressureTracker(
         "e-0", NAMES, entry_session.EntrySession(()), lambda *_: True
     )
-    again.apply_report(desk.whole("e-0", 11.0))
+    again.apply_report(manager.whole("e-0", 11.0))
     assert not again.may_send("u-1")
 
 
 def test_only_a_response_that_accepted_the_request_ends_a_limit(watch):
-    """A rejection may come from a part of the upstream that knows nothing of its limit."""
+    """A rejection may come from a component of the upstream that does not know its limit."""
     limit = {NAMES.rate_limit: "2"}
     watch.record_response("u-1", 200, limit, sent_at=0.0, attempt_id="a-1")
     for status, headers in ((503, {}), (400, {NAMES.not_executed: "1"})):
@@ -148,7 +150,7 @@
 def test_the_number_of_backoffs_is_bounded(ledger):
     for number in range(signal_ledger.MAX_BACKOFFS + 5):
         ledger.record_backoff("u-1", f"e-{number}", number + 1.0, 0.0)
-    kept = len(ledger._pause_until_by_pair)
+    kept = len(ledger._backoff_until_by_pair)
     assert kept == signal_ledger.MAX_BACKOFFS
     ledger.tidy(1e9)
     assert ledger.is_empty
@@ -156,18 +158,18 @@
 
 def test_reports_in_any_order_keep_the_longest_backoff(ledger):
     for left_s in (1.0, 3.0, 2.0):
-        pause = signal_messages.Backoff("u-1", "e-0", left_s)
-        ledger.merge(signal_messages.SignalReport(pauses=(pause,)), 5.0)
+        backoff = signal_messages.Backoff("u-1", "e-0", left_s)
+        ledger.merge(signal_messages.SignalReport(pauses=(backoff,)), 5.0)
     assert ledger.backoff_until("u-1", "e-0") == 8.0
 
 
 def test_a_request_that_five_upstreams_reject_is_served_by_the_sixth(tmp_path):
-    """It was refused after the third, though others were left that take it."""
+    """It was refused after the third rejection while other upstreams accepted requests."""
 
     async def main(world):
         await world.put_routing(kind="unsafe")
         for _ in range(5):
-            await world.add_upstream(turn_away())
+            await world.add_upstream(reject())
         await world.add_upstream()
         await world.until_upstreams(6)
         for _ in range(4):
@@ -182,8 +184,8 @@
 def test_a_caller_that_all_upstreams_reject_gets_the_shortest_retry_delay(tmp_path):
     async def main(world):
         await world.put_routing(timeout_ms=1000)
-        for pause_s in (4.0, 3.0):
-            await world.add_upstream(turn_away(pause_s))
+        for backoff_s in (4.0, 3.0):
+            await world.add_upstream(reject(backoff_s))
         await world.until_upstreams(2)
         async with curio.timeout_after(0.8):
             response = await world.call()
@@ -194,7 +196,7 @@
 
 
 def test_a_late_response_to_another_request_carries_no_signals(tmp_path):
-    """It was made before the request was sent, and would end a limit that was named since."""
+    """It was produced before the request was sent, and would end a limit stated since."""
 
     async def answer_another(exchange):
         headers = {NAMES.attempt_id: "another", NAMES.leaving: "1"}
@@ -211,11 +213,11 @@
 
 
 def test_a_request_that_waits_for_a_connection_goes_elsewhere_on_a_backoff(tmp_path, monkeypatch):
-    """Connecting takes as long as a lost packet, and the request was sent after it all the same."""
+    """Connecting takes as long as a lost packet, and the request was sent despite the backoff."""
 
     async def main(world):
         await world.put_routing(kind="unsafe")
-        shedding = await world.add_upstream(turn_away(PAUSE_S, after_s=0.2))
+        shedding = await world.add_upstream(reject(BACKOFF_S, after_s=0.2))
         await world.until_upstreams(1)
         pool = world.entry._client._pool
         take = pool.take
@@ -244,7 +246,7 @@
 
     async def answer_second(exchange):
         seen.append(exchange)
-        serve = turn_away(0.5) if len(seen) == 1 else routed_harness.answer_plainly
+        serve = reject(0.5) if len(seen) == 1 else routed_harness.answer_plainly
         await serve(exchange)
 
     async def main(world):
--- a/tests/routed/test_coordinator.py
+++ b/tests/routed/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinators in virtual time: operators' versions, members and leaves under failure."""
+"""Coordinators in virtual time: routing versions, membership and leaves under faults."""
 
 import pytest
 
@@ -11,10 +11,10 @@
 
 @pytest.fixture
 def cluster():
-    made = coordinator_cluster.Cluster()
-    made.run(6.0)
-    assert isinstance(made.put("a", 3), Accepted)
-    return made
+    new_cluster = coordinator_cluster.Cluster()
+    new_cluster.run(6.0)
+    assert isinstance(new_cluster.put("a", 3), Accepted)
+    return new_cluster
 
 
 def _voters(cluster, replica_id):
@@ -129,16 +129,16 @@
     cluster.run(1.0)
     registry = cluster.host_by_id["c"].node._registry
     assert [item.upstream_id for item in registry.present] == ["u-1"]
-    assert registry.whole().left == ("u-9",)
+    assert registry.full_view().left == ("u-9",)
 
 
-def _hear_entry(cluster, entry_id):
+def _send_entry_status(cluster, entry_id):
     status = coordination_messages.EntryStatus(f"{entry_id}:1", "z", True, 0, 0, 0)
     for replica_id in cluster.host_by_id:
         cluster.post(replica_id, node.MessageReceived(entry_id, status))
 
 
-def _sent(cluster):
+def _sent_view_pushes(cluster):
     return [
         (to, message)
         for _, to, message in cluster.packets
@@ -146,34 +146,34 @@
     ]
 
 
-def _view_pushes(cluster, seconds):
-    """Return the changes of the view that are sent to entry hosts within a time."""
+def _collect_view_pushes(cluster, seconds):
+    """Return the view changes that are sent to entry hosts within a time."""
     pushes = []
     for _ in range(round(seconds / coordinator_cluster.STEP_S)):
         cluster.step()
-        pushes += _sent(cluster)
+        pushes += _sent_view_pushes(cluster)
     return pushes
 
 
 def test_upstreams_that_start_together_are_pushed_together(cluster, make_announcement):
-    _hear_entry(cluster, "e-1")
-    _view_pushes(cluster, 0.5)
+    _send_entry_status(cluster, "e-1")
+    _collect_view_pushes(cluster, 0.5)
     for number in range(40):
         announcement = make_announcement(f"u-{number}", address=f"10.0.0.{number}:1")
         announced = coordinator_types.Announce(announcement)
         cluster.post("abcde"[number % 5], coordinator_types.OperationReceived(-number, announced))
-    pushes = _view_pushes(cluster, 0.6)
-    told = {item.upstream_id for _, push in pushes for item in push.change.present}
-    assert len(told) == 40
-    # One by one that would be 40 from each of the five.
+    pushes = _collect_view_pushes(cluster, 0.6)
+    sent = {item.upstream_id for _, push in pushes for item in push.change.present}
+    assert len(sent) == 40
+    # Pushed one by one it would be 40 from each of the five.
     assert len(pushes) <= 5 * 4
 
 
 def test_replica_lists_are_sent_periodically_and_to_new_entry_hosts(cluster):
-    _hear_entry(cluster, "e-1")
+    _send_entry_status(cluster, "e-1")
     statuses = []
     for _ in range(round(4.0 / coordinator_cluster.STEP_S)):
-        _hear_entry(cluster, "e-1")
+        _send_entry_status(cluster, "e-1")
         cluster.step()
         statuses += [
             message
@@ -185,7 +185,7 @@
     assert 2 <= len(named) <= 3
     assert all(len(status.members) == 5 for status in named)
     cluster.packets = []
-    _hear_entry(cluster, "e-2")
+    _send_entry_status(cluster, "e-2")
     first = [
         message
         for _, to, message in cluster.packets
@@ -196,18 +196,18 @@
 
 
 def test_a_leave_is_pushed_at_once_after_other_changes(cluster, make_announcement):
-    _hear_entry(cluster, "e-1")
-    _view_pushes(cluster, 0.5)
+    _send_entry_status(cluster, "e-1")
+    _collect_view_pushes(cluster, 0.5)
     for number in range(3):
         announcement = make_announcement(f"u-{number}", address=f"10.0.0.{number}:1")
         assert isinstance(cluster.ask("a", coordinator_types.Announce(announcement)), Accepted)
     withdraw = coordinator_types.OperationReceived(-1, coordinator_types.Withdraw("u-1"))
     cluster.post("a", withdraw)
-    assert ("u-1",) in [push.change.left for to, push in _sent(cluster) if to == "e-1"]
+    assert ("u-1",) in [push.change.left for to, push in _sent_view_pushes(cluster) if to == "e-1"]
 
 
 def _announce_to(cluster, replica_id, make_announcement, seconds):
-    """Have an upstream announce itself to one replica for a time."""
+    """Let an upstream announce itself to one replica for some time."""
     for _ in range(round(seconds / coordinator_cluster.PERIOD_S)):
         announcement = make_announcement(sequence=round(cluster.time * 10))
         announced = coordinator_types.Announce(announcement)
@@ -220,7 +220,7 @@
 
 
 def test_an_upstream_heard_on_the_other_side_of_a_partition_stays(cluster, make_announcement):
-    """Replay a cut between replicas: the owner dropped the upstreams that the others heard."""
+    """Regression: during a partition the owner dropped the upstreams that the others heard."""
     _announce_to(cluster, "c", make_announcement, 3.0)
     here, there = "ab", "cde"
     cluster.cut |= {(one, two) for one in here for two in there}
@@ -232,7 +232,7 @@
 
 
 def test_an_upstream_stays_when_a_partition_heals(cluster, make_announcement):
-    """Replay the end of a cut: replicas heard each other before they heard of the upstreams."""
+    """Regression: after a partition replicas heard each other before the others' upstreams."""
     _announce_to(cluster, "c", make_announcement, 3.0)
     cluster.cut |= {(one, two) for one in "ab" for two in "cde"}
     cluster.cut |= {(two, one) for one in "ab" for two in "cde"}
@@ -263,18 +263,18 @@
 
 
 def test_a_host_without_routing_gets_it_without_another_status(cluster):
-    """Replay a restart: the leader may not be known yet, so any replica gives it after 0.1 s."""
+    """Regression: after a restart the leader may not be known; any replica pushes after 0.1 s."""
     leader = cluster.host_by_id["a"].node._leader_id
     follower = next(name for name in cluster.host_by_id if name != leader)
     status = coordination_messages.EntryStatus("e-1:1", "z", False, 0, 0, 0)
     cluster.post(follower, node.MessageReceived("e-1", status))
-    told = []
+    sent = []
     for _ in range(round(0.3 / coordinator_cluster.STEP_S)):
-        told += [
+        sent += [
             message
             for sender, to, message in cluster.packets
             if (sender, to) == (follower, "e-1")
             and isinstance(message, coordination_messages.RoutingPush)
         ]
         cluster.step()
-    assert [push.version for push in told] == [3]
+    assert [push.version for push in sent] == [3]
--- a/tests/routed/test_coordinator_machine.py
+++ b/tests/routed/test_coordinator_machine.py
@@ -1,9 +1,9 @@
-"""Random histories of coordinators: nothing acknowledged is lost or read back older.
+"""Random fault histories of coordinators: no acknowledged version is lost or read back older.
 
-Nor is a request forgotten that the log of any replica held.
+Nor is a held request lost once it was in the log of any replica.
 
-By hand, for long, each run with a seed of its own:
-``MEDLAR_MACHINE_EXAMPLES=20000 MEDLAR_MACHINE_SEED=1 pytest --timeout 0 FILE``.
+For a long run, with a seed: ``MEDLAR_MACHINE_EXAMPLES=20000 MEDLAR_MACHINE_SEED=1 pytest --timeout
+0 FILE``.
 """
 
 import os
@@ -24,7 +24,7 @@
 
 
 class CoordinatorMachine(stateful.RuleBasedStateMachine):
-    """Lose at most one disk at a time, and everything else at will."""
+    """Injects faults; at most one disk is lost at a time."""
 
     def __init__(self):
         super().__init__()
@@ -36,12 +36,12 @@
         self.held = set()
 
     def host(self, place):
-        """Return one of the machines."""
+        """Return one of the hosts."""
         names = sorted(self.cluster.host_by_id)
         return self.cluster.host_by_id[names[place % len(names)]]
 
-    def is_calm(self):
-        """Say whether all run, in contact, and every disk has caught up."""
+    def is_healthy(self):
+        """Return whether all hosts run, are connected, and have recovered from a lost disk."""
         hosts = self.cluster.host_by_id.values()
         running = all(host.node is not None and host.suspended is None for host in hosts)
         return running and not self.cluster.cut and self.cluster.time - self.disk_lost_at > 8.0
@@ -60,18 +60,18 @@
         self.cluster.read(self.host(place).replica_id)
 
     @stateful.rule(places=st.sets(PLACES, min_size=3), key=st.sampled_from("kl"), numbers=NUMBERS)
-    def tell_ends(self, places, key, numbers):
-        """An entry host that reaches some replicas tells of upstreams that ended."""
+    def transmit_crash_report(self, places, key, numbers):
+        """Send an entry host's report of crashed upstreams to some replicas."""
         ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.0) for number in numbers)
         report = crash_messages.CrashReport((crash_messages.CrashCase(key, ends),))
-        told = node.MessageReceived("e-0", report)
+        received = node.MessageReceived("e-0", report)
         for place in places:
-            self.cluster.post(self.host(place).replica_id, told)
+            self.cluster.post(self.host(place).replica_id, received)
         self.cluster.run(0.3)
 
     @stateful.invariant()
-    def note_held(self):
-        """Remember what any replica has read from the committed log."""
+    def record_held(self):
+        """Record held requests that any replica has applied from the committed log."""
         for host in self.cluster.host_by_id.values():
             if host.node is not None:
                 self.held |= set(host.node._state.held_by_key)
@@ -98,7 +98,7 @@
 
     @stateful.rule(place=PLACES)
     def wipe(self, place):
-        if self.is_calm():
+        if self.is_healthy():
             replica_id = self.host(place).replica_id
             self.cluster.wipe(replica_id)
             self.cluster.start(replica_id)
@@ -106,7 +106,7 @@
 
     @stateful.rule(place=PLACES)
     def replace(self, place):
-        if self.is_calm():
+        if self.is_healthy():
             self.cluster.remove(self.host(place).replica_id)
             self.cluster.run(1.0)
             self.cluster.start(next(self.spare))
@@ -137,7 +137,7 @@
         self.host(place).disk.is_full = is_full
 
     def teardown(self):
-        """Heal everything; what was acknowledged must be there, everywhere."""
+        """Heal all faults; everything acknowledged must then be present on every replica."""
         self.cluster.cut.clear()
         for host in tuple(self.cluster.host_by_id.values()):
             host.disk.is_full = False
--- a/tests/routed/test_crash_ledger.py
+++ b/tests/routed/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests are held for the upstreams that ended under them, and which are cleared."""
+"""Which requests are held because upstreams crashed while they ran them, and which are cleared."""
 
 import itertools
 import math
@@ -18,7 +18,7 @@
     return crash_ledger.CrashLedger()
 
 
-def note_ends(ledger, count, *, key=KEY, at=0.0):
+def record_crashes(ledger, count, *, key=KEY, at=0.0):
     for number in range(count):
         ledger.record_crash(key, f"u-{number}@{at}", at, at)
 
@@ -35,7 +35,7 @@
     ],
 )
 def test_a_request_runs_freely_then_one_at_a_time_then_not(ledger, ends, verdict, trial_in_s):
-    note_ends(ledger, ends)
+    record_crashes(ledger, ends)
     standing = ledger.standing(KEY, 0.0)
     assert (standing.verdict, standing.trial_in_s) == (verdict, trial_in_s)
 
@@ -57,23 +57,23 @@
 
 
 def test_an_answer_clears_a_request_of_the_crashes_around_it(ledger):
-    """Replay a third of the upstreams killed at once while many callers send one request."""
-    note_ends(ledger, 4, at=100.0)
+    """A third of the upstreams is killed at once while many callers send one request."""
+    record_crashes(ledger, 4, at=100.0)
     assert ledger.standing(KEY, 100.0).verdict is Verdict.HELD
     assert ledger.record_completion(KEY, 98.0, 100.1)
     assert ledger.standing(KEY, 100.1).verdict is Verdict.FREE
-    note_ends(ledger, 3, at=107.0)
+    record_crashes(ledger, 3, at=107.0)
     assert ledger.standing(KEY, 107.0).verdict is Verdict.FREE
 
 
 def test_an_old_answer_clears_no_crash(ledger):
-    note_ends(ledger, 3, at=100.0)
+    record_crashes(ledger, 3, at=100.0)
     assert not ledger.record_completion(KEY, 100.0 - crash_ledger.EXONERATION_S - 0.1, 100.0)
     assert ledger.standing(KEY, 100.0).verdict is Verdict.HELD
 
 
 def test_a_case_is_evicted_an_hour_after_its_last_crash(ledger):
-    note_ends(ledger, 5)
+    record_crashes(ledger, 5)
     ledger.tidy(crash_ledger.CASE_RETENTION_S - 1.0)
     assert ledger.standing(KEY, 0.0).verdict is Verdict.HELD
     ledger.tidy(crash_ledger.CASE_RETENTION_S + 1.0)
@@ -81,7 +81,7 @@
 
 
 def test_an_account_with_many_cases_evicts_no_case_of_another(ledger):
-    note_ends(ledger, 3, key="000000-others")
+    record_crashes(ledger, 3, key="000000-others")
     for number in range(3 * crash_ledger.MAX_CASES):
         ledger.record_crash(f"ffffff-{number}", "u-1", 0.0, 0.0)
     assert len(ledger) == crash_ledger.MAX_CASES
@@ -89,7 +89,7 @@
 
 
 def test_a_report_of_a_report_is_no_update(ledger):
-    note_ends(ledger, 3, at=50.0)
+    record_crashes(ledger, 3, at=50.0)
     ledger.record_completion("none", 1.0, 50.0)
     other = crash_ledger.CrashLedger()
     assert other.merge(ledger.report(ledger.known(), 60.0), 1060.2) == (KEY,)
@@ -105,10 +105,10 @@
     ),
     max_size=12,
 )
-"""Ends at upstreams 1 to 5, and answers at 0, with their times."""
+"""Crashes of upstreams 1 to 5, and completions as 0, with their ages."""
 
 
-def _told(event):
+def _make_report(event):
     key, number, ago_s = event
     if number == 0:
         return crash_messages.CrashReport((crash_messages.CrashCase(key, (), ago_s),))
@@ -123,9 +123,9 @@
     random.shuffle(shuffled)
     first, second = crash_ledger.CrashLedger(), crash_ledger.CrashLedger()
     for event in events:
-        first.merge(_told(event), 200.0)
+        first.merge(_make_report(event), 200.0)
     for event in shuffled:
-        second.merge(_told(event), 200.0)
+        second.merge(_make_report(event), 200.0)
     for key in ("k-1", "k-2"):
         assert set(first.ends(key)) == set(second.ends(key))
         assert first.standing(key, 200.0) == second.standing(key, 200.0)
@@ -135,11 +135,11 @@
 def test_crash_ledgers_that_exchange_reports_converge(events):
     ledgers = [crash_ledger.CrashLedger() for _ in range(3)]
     for ledger, event in zip(itertools.cycle(ledgers), events, strict=False):
-        ledger.merge(_told(event), 200.0)
+        ledger.merge(_make_report(event), 200.0)
     for _ in range(3):
-        for teller, hearer in itertools.permutations(ledgers, 2):
-            hearer.merge(teller.report(teller.known(), 200.0), 200.0)
-    for teller, hearer in itertools.permutations(ledgers, 2):
-        assert hearer.merge(teller.report(teller.known(), 200.0), 200.0) == ()
+        for sender, receiver in itertools.permutations(ledgers, 2):
+            receiver.merge(sender.report(sender.known(), 200.0), 200.0)
+    for sender, receiver in itertools.permutations(ledgers, 2):
+        assert receiver.merge(sender.report(sender.known(), 200.0), 200.0) == ()
         for key in ("k-1", "k-2"):
-            assert set(teller.ends(key)) == set(hearer.ends(key))
+            assert set(sender.ends(key)) == set(receiver.ends(key))
--- a/tests/routed/test_crash_manager.py
+++ b/tests/routed/test_crash_manager.py
@@ -1,4 +1,4 @@
-"""What replicas keep and pass on of requests that end upstreams, in virtual time."""
+"""Crash cases on coordinators in virtual time: reports, publication, log and trials."""
 
 import pytest
 
@@ -15,22 +15,22 @@
 
 @pytest.fixture
 def cluster():
-    made = coordinator_cluster.Cluster()
-    made.run(6.0)
-    assert isinstance(made.put("a", 3), Accepted)
-    _hear_hosts(made)
-    made.run(0.2)
-    return made
+    new_cluster = coordinator_cluster.Cluster()
+    new_cluster.run(6.0)
+    assert isinstance(new_cluster.put("a", 3), Accepted)
+    _send_host_statuses(new_cluster)
+    new_cluster.run(0.2)
+    return new_cluster
 
 
-def _hear_hosts(cluster):
+def _send_host_statuses(cluster):
     for number, entry_id in enumerate(HOSTS):
         status = coordination_messages.EntryStatus(f"10.0.0.{number}:1", "z", True, 3, 0, 0)
         for replica_id in cluster.host_by_id:
             cluster.post(replica_id, node.MessageReceived(entry_id, status))
 
 
-def _tell(cluster, replica_ids, numbers, *, key=KEY, survived_ago_s=-1.0):
+def _report_crashes(cluster, replica_ids, numbers, *, key=KEY, survived_ago_s=-1.0):
     ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.0) for number in numbers)
     case = crash_messages.CrashCase(key, ends, survived_ago_s)
     report = crash_messages.CrashReport((case,))
@@ -38,11 +38,11 @@
         cluster.post(replica_id, node.MessageReceived("e-0", report))
 
 
-def _told(cluster, seconds):
+def _collect_reports(cluster, seconds):
     """Return the reports that are sent to entry hosts within a time."""
     reports = []
     for _ in range(round(seconds / coordinator_cluster.STEP_S)):
-        _hear_hosts(cluster)
+        _send_host_statuses(cluster)
         reports += [
             (to, message)
             for _, to, message in cluster.packets
@@ -52,8 +52,8 @@
     return reports
 
 
-def _ask_trial(cluster, replica_id, make_place_request, ticket_id="t-1"):
-    """Return what a replica answers to the question for a trial."""
+def _request_trial(cluster, replica_id, make_place_request, ticket_id="t-1"):
+    """Return a replica's reply to the request for a trial."""
     question = make_place_request(ticket_id, trial_key=KEY)
     cluster.packets = []
     cluster.post(replica_id, node.MessageReceived("e-1", question))
@@ -62,46 +62,46 @@
 
 
 def test_a_single_crash_is_not_published(cluster):
-    _tell(cluster, "abcde", (1,))
-    assert _told(cluster, 1.0) == []
+    _report_crashes(cluster, "abcde", (1,))
+    assert _collect_reports(cluster, 1.0) == []
 
 
 def test_a_second_crash_is_published_to_all_hosts_within_100_ms(cluster):
-    _tell(cluster, "abcde", (1, 2))
-    reports = _told(cluster, 0.1)
+    _report_crashes(cluster, "abcde", (1, 2))
+    reports = _collect_reports(cluster, 0.1)
     assert {to for to, _ in reports} == set(HOSTS)
-    # Each of the five replicas tells each host once.
+    # Each of the five replicas sends each host one report.
     assert len(reports) <= 5 * len(HOSTS)
 
 
 def test_changes_are_resent_for_a_limited_time(cluster):
-    _tell(cluster, "a", (1, 2, 3))
-    assert len(_told(cluster, 2.5)) >= 3 * len(HOSTS)
-    _told(cluster, 2.0)
-    assert _told(cluster, 3.0) == []
+    _report_crashes(cluster, "a", (1, 2, 3))
+    assert len(_collect_reports(cluster, 2.5)) >= 3 * len(HOSTS)
+    _collect_reports(cluster, 2.0)
+    assert _collect_reports(cluster, 3.0) == []
 
 
 def test_a_new_host_gets_the_cases_at_once(cluster):
-    _tell(cluster, "abcde", (1, 2, 3))
+    _report_crashes(cluster, "abcde", (1, 2, 3))
     cluster.run(8.0)
     cluster.packets = []
     status = coordination_messages.EntryStatus("10.0.0.9:1", "z", True, 3, 0, 0)
     cluster.post("b", node.MessageReceived("e-9", status))
-    told = [message for _, to, message in cluster.packets if to == "e-9"]
-    (report,) = [item for item in told if isinstance(item, crash_messages.CrashReport)]
+    received = [message for _, to, message in cluster.packets if to == "e-9"]
+    (report,) = [item for item in received if isinstance(item, crash_messages.CrashReport)]
     assert len(report.cases[0].ends) == 3
 
 
 def test_a_held_request_is_refused_by_every_replica(cluster, make_place_request):
-    _tell(cluster, "abcde", (1, 2, 3))
+    _report_crashes(cluster, "abcde", (1, 2, 3))
     for replica_id in "abcde":
-        answer = _ask_trial(cluster, replica_id, make_place_request)
+        answer = _request_trial(cluster, replica_id, make_place_request)
         assert isinstance(answer, placement_messages.PlaceRefused)
 
 
 def test_a_restart_of_all_replicas_forgets_no_held_request(cluster, make_place_request):
-    """Each restart of everything would else cost three upstreams more."""
-    _tell(cluster, "abcde", (1, 2, 3))
+    """Without it each restart of all replicas would crash three more upstreams."""
+    _report_crashes(cluster, "abcde", (1, 2, 3))
     cluster.run(2.0)
     for replica_id in tuple(cluster.host_by_id):
         cluster.kill(replica_id)
@@ -111,25 +111,25 @@
     cluster.until_read(12.0)
     cluster.run(0.5)
     for replica_id in "abcde":
-        answer = _ask_trial(cluster, replica_id, make_place_request)
+        answer = _request_trial(cluster, replica_id, make_place_request)
         assert isinstance(answer, placement_messages.PlaceRefused)
         assert answer.retry_after_ms > 0
-    assert {to for to, _ in _told(cluster, 1.0)} == set(HOSTS)
+    assert {to for to, _ in _collect_reports(cluster, 1.0)} == set(HOSTS)
 
 
 def test_a_case_reported_to_one_replica_reaches_the_log_of_all(cluster, make_place_request):
     leader = cluster.host_by_id["a"].node._leader_id
-    _tell(cluster, (leader,), (1, 2, 3))
+    _report_crashes(cluster, (leader,), (1, 2, 3))
     cluster.run(1.0)
     for replica_id in "abcde":
-        answer = _ask_trial(cluster, replica_id, make_place_request)
+        answer = _request_trial(cluster, replica_id, make_place_request)
         assert isinstance(answer, placement_messages.PlaceRefused)
 
 
 def test_a_request_that_completed_is_released_in_the_log_too(cluster, make_place_request):
-    _tell(cluster, "abcde", (1, 2, 3))
+    _report_crashes(cluster, "abcde", (1, 2, 3))
     cluster.run(2.0)
-    _tell(cluster, "abcde", (), survived_ago_s=0.5)
+    _report_crashes(cluster, "abcde", (), survived_ago_s=0.5)
     cluster.run(2.0)
     for replica_id in "abcde":
         assert cluster.host_by_id[replica_id].node._state.held_by_key == {}
@@ -137,12 +137,12 @@
 
 
 def test_an_operator_sees_a_held_request_and_lifts_it(cluster):
-    _tell(cluster, "abcde", (1, 2, 3))
+    _report_crashes(cluster, "abcde", (1, 2, 3))
     cluster.run(1.0)
-    found = cluster.ask("b", coordinator_types.ListCrashCases())
-    assert [case.key for case in found.cases] == [KEY]
+    listed = cluster.ask("b", coordinator_types.ListCrashCases())
+    assert [case.key for case in listed.cases] == [KEY]
     assert isinstance(cluster.ask("b", coordinator_types.LiftCrashCase(KEY)), Accepted)
-    reports = _told(cluster, 1.0)
+    reports = _collect_reports(cluster, 1.0)
     cleared = [to for to, report in reports for case in report.cases if case.survived_ago_s >= 0]
     assert set(cleared) >= set(HOSTS)
     for host in cluster.host_by_id.values():
@@ -150,14 +150,14 @@
 
 
 def test_a_trial_without_an_upstream_does_not_block_the_next_one(cluster, make_place_request):
-    _tell(cluster, "abcde", (1, 2))
-    first = _ask_trial(cluster, "a", make_place_request)
+    _report_crashes(cluster, "abcde", (1, 2))
+    first = _request_trial(cluster, "a", make_place_request)
     assert isinstance(first, placement_messages.Queued)
-    again = _ask_trial(cluster, "a", make_place_request, "t-2")
+    again = _request_trial(cluster, "a", make_place_request, "t-2")
     assert isinstance(again, placement_messages.PlaceRefused)
     cluster.run(3.0)
     assert isinstance(
-        _ask_trial(cluster, "a", make_place_request, "t-3"), placement_messages.Queued
+        _request_trial(cluster, "a", make_place_request, "t-3"), placement_messages.Queued
     )
 
 
@@ -165,7 +165,7 @@
     ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.0) for number in range(3))
     cases = tuple(crash_messages.CrashCase(f"ffffff-{number}", ends) for number in range(900))
     cluster.post("a", node.MessageReceived("e-0", crash_messages.CrashReport(cases)))
-    reports = [report for to, report in _told(cluster, 1.0) if to == "e-1"]
+    reports = [report for to, report in _collect_reports(cluster, 1.0) if to == "e-1"]
     assert max(len(report.cases) for report in reports) <= 200
     assert len({case.key for report in reports for case in report.cases}) == 900
     assert len(cluster.host_by_id["a"].node._crashes.ledger) <= crash_ledger.MAX_CASES
--- a/tests/routed/test_crash_tracker.py
+++ b/tests/routed/test_crash_tracker.py
@@ -1,4 +1,4 @@
-"""What an entry host takes for the end of an upstream, and whom it tells."""
+"""Which events an entry host counts as an upstream crash, and how it reports them."""
 
 import curio
 import pytest
@@ -13,14 +13,14 @@
 
 
 class Client:
-    """Meet at each address what a test says."""
+    """A fake HTTP client with a probe result for each address."""
 
     def __init__(self):
         self.reach_by_address = {}
-        self.looks = 0
+        self.probes = 0
 
     async def reach(self, address, *, within_s):
-        self.looks += 1
+        self.probes += 1
         await curio.sleep(0.001)
         return self.reach_by_address.get(address, http_client.Reach.REFUSES)
 
@@ -41,7 +41,7 @@
 
 
 @pytest.fixture
-def watch(client, session, sent):
+def tracker(client, session, sent):
     def send(replica_id, report):
         sent.append((replica_id, report))
         return True
@@ -52,9 +52,9 @@
 @pytest.fixture
 def make_admitted(make_route):
     def make(key=KEY):
-        facts = type("Facts", (), {"attempt_id": "a-1"})()
+        metadata = type("Facts", (), {"attempt_id": "a-1"})()
         return request_types.AdmittedRequest(
-            None, facts, make_route(), key, "s", "shop", 0, b"", 0, 1
+            None, metadata, make_route(), key, "s", "shop", 0, b"", 0, 1
         )
 
     return make
@@ -65,18 +65,18 @@
     return make_announcement(f"n-{number}@1", **(values | changes))
 
 
-async def break_at(watch, admitted, where):
-    await watch.handle_broken_run(admitted, where)
-    await watch.wait_probed(where.upstream_id)
+async def break_run_at(tracker, admitted, where):
+    await tracker.handle_broken_run(admitted, where)
+    await tracker.wait_probed(where.upstream_id)
 
 
 def test_crashes_are_reported_to_all_replicas_and_the_third_holds_the_request(
-    watch, sent, make_admitted, make_announcement
+    tracker, sent, make_admitted, make_announcement
 ):
     async def main():
         for number, verdict in enumerate((Verdict.FREE, Verdict.TRIAL, Verdict.HELD)):
-            await break_at(watch, make_admitted(), upstream(make_announcement, number))
-            assert watch.standing(KEY).verdict is verdict
+            await break_run_at(tracker, make_admitted(), upstream(make_announcement, number))
+            assert tracker.standing(KEY).verdict is verdict
         assert [to for to, _ in sent] == ["r1", "r2"] * 3
         assert len(sent[-1][1].cases[0].ends) == 3
 
@@ -84,16 +84,16 @@
 
 
 def test_runs_broken_at_one_upstream_share_one_probe(
-    watch, client, sent, make_admitted, make_announcement
+    tracker, client, sent, make_admitted, make_announcement
 ):
-    """Replay a crash: 21 runs broke within 2 ms."""
+    """A crash breaks many runs at once: here 21, within 2 ms."""
 
     async def main():
         where = upstream(make_announcement, 1)
         for number in range(21):
-            await watch.handle_broken_run(make_admitted(f"k-{number}"), where)
-        await watch.wait_probed(where.upstream_id)
-        assert client.looks == 1
+            await tracker.handle_broken_run(make_admitted(f"k-{number}"), where)
+        await tracker.wait_probed(where.upstream_id)
+        assert client.probes == 1
         assert len(sent) == 2
         assert len(sent[0][1].cases) == 21
 
@@ -101,24 +101,24 @@
 
 
 def test_a_lost_connection_to_a_listening_upstream_is_no_crash(
-    watch, client, session, make_admitted, make_announcement
+    tracker, client, session, make_admitted, make_announcement
 ):
     async def main():
         for number in range(5):
             where = upstream(make_announcement, number)
             client.reach_by_address[f"http://{where.address}"] = http_client.Reach.ACCEPTS
-            await break_at(watch, make_admitted(), where)
-        assert watch.standing(KEY).verdict is Verdict.FREE
-        assert watch.cases == 0
+            await break_run_at(tracker, make_admitted(), where)
+        assert tracker.standing(KEY).verdict is Verdict.FREE
+        assert tracker.cases == 0
 
     curio_world.run(main)
 
 
 @pytest.mark.parametrize("breaks", [True, False])
 def test_a_replaced_upstream_counts_as_crashed(
-    watch, client, session, make_admitted, make_announcement, breaks
+    tracker, client, session, make_admitted, make_announcement, breaks
 ):
-    """One without power breaks no connection; one that is back may be what listens."""
+    """An upstream without power resets no connection, and its replacement may accept the probe."""
 
     async def main():
         session.upstream_by_id.clear()
@@ -126,96 +126,96 @@
             where = upstream(make_announcement, number)
             client.reach_by_address[f"http://{where.address}"] = http_client.Reach.ACCEPTS
             if breaks:
-                await break_at(watch, make_admitted(), where)
+                await break_run_at(tracker, make_admitted(), where)
             else:
-                watch.record_abandoned_run(KEY, where)
+                tracker.record_abandoned_run(KEY, where)
             again = upstream(make_announcement, number, born_ms=2)
             session.upstream_by_id[f"n-{number}@2"] = again
-        watch.check_replacements()
-        assert watch.standing(KEY).verdict is Verdict.HELD
+        tracker.check_replacements()
+        assert tracker.standing(KEY).verdict is Verdict.HELD
 
     curio_world.run(main)
 
 
 def test_a_run_abandoned_long_before_a_crash_is_not_blamed_for_it(
-    watch, session, make_announcement, monkeypatch
+    tracker, session, make_announcement, monkeypatch
 ):
-    """Callers give up all the time where streams are slow, and releases replace every upstream."""
+    """Callers of slow streams often disconnect, and every release replaces all upstreams."""
     now = [100.0]
     monkeypatch.setattr(crash_tracker, "_now", lambda: now[0])
     for number in range(3):
         where = upstream(make_announcement, number)
-        watch.record_abandoned_run(KEY, where)
+        tracker.record_abandoned_run(KEY, where)
         now[0] += crash_tracker.REPLACEMENT_WINDOW_S - 1.0
-        watch.record_abandoned_run("another", where)
+        tracker.record_abandoned_run("another", where)
         now[0] += 2.0
         session.upstream_by_id[f"n-{number}@2"] = upstream(make_announcement, number, born_ms=2)
-        watch.check_replacements()
-    assert watch.standing("another").verdict is Verdict.HELD
-    assert watch.standing(KEY).verdict is Verdict.FREE
+        tracker.check_replacements()
+    assert tracker.standing("another").verdict is Verdict.HELD
+    assert tracker.standing(KEY).verdict is Verdict.FREE
 
 
-def test_a_host_that_saw_a_request_complete_clears_it_at_all_replicas(watch, sent):
-    watch.record_completed_run(KEY)
+def test_a_host_that_saw_a_request_complete_clears_it_at_all_replicas(tracker, sent):
+    tracker.record_completed_run(KEY)
     ends = tuple(crash_messages.UpstreamCrash(f"u-{number}", 0.1) for number in range(3))
-    watch.take(crash_messages.CrashReport((crash_messages.CrashCase(KEY, ends),)))
-    assert watch.standing(KEY).verdict is Verdict.FREE
+    tracker.apply_report(crash_messages.CrashReport((crash_messages.CrashCase(KEY, ends),)))
+    assert tracker.standing(KEY).verdict is Verdict.FREE
     assert [to for to, _ in sent] == ["r1", "r2"]
     assert sent[0][1].cases[0].survived_ago_s >= 0
 
 
 def test_a_request_is_suspect_after_its_second_broken_run_or_once_it_is_held(
-    watch, make_admitted, make_announcement
+    tracker, make_admitted, make_announcement
 ):
-    """Others like it that lost an upstream put it on trial; they do not end it."""
+    """Crashes under other requests with its key put it on trial but do not stop it."""
 
     async def main():
         for number, expected in ((0, (False, False)), (1, (False, True)), (2, (True, True))):
             where = upstream(make_announcement, number)
-            await break_at(watch, make_admitted(), where)
-            found = [await watch.is_suspect(KEY, where.upstream_id, breaks) for breaks in (1, 2)]
+            await break_run_at(tracker, make_admitted(), where)
+            found = [await tracker.is_suspect(KEY, where.upstream_id, breaks) for breaks in (1, 2)]
             assert tuple(found) == expected
 
     curio_world.run(main)
 
 
 def test_simultaneous_crashes_just_after_an_answer_put_no_request_on_trial(
-    watch, sent, make_admitted, make_announcement
+    tracker, sent, make_admitted, make_announcement
 ):
-    """Two engines were killed at once; a request that ran on both was lost as if it ended them."""
+    """Two engines were killed at once, and a request that ran on both was wrongly blamed for it."""
 
     async def main():
-        watch.record_completed_run(KEY)
+        tracker.record_completed_run(KEY)
         for number in range(3):
-            await break_at(watch, make_admitted(), upstream(make_announcement, number))
-            assert watch.standing(KEY).verdict is Verdict.FREE
+            await break_run_at(tracker, make_admitted(), upstream(make_announcement, number))
+            assert tracker.standing(KEY).verdict is Verdict.FREE
         assert sent == []
 
     curio_world.run(main)
 
 
-def test_an_old_answer_shields_no_request(watch, make_admitted, make_announcement, monkeypatch):
+def test_an_old_answer_shields_no_request(tracker, make_admitted, make_announcement, monkeypatch):
     now = [100.0]
     monkeypatch.setattr(crash_tracker, "_now", lambda: now[0])
 
     async def main():
-        watch.record_completed_run(KEY)
+        tracker.record_completed_run(KEY)
         now[0] += crash_ledger.EXONERATION_S + 0.1
         for number in range(3):
-            await break_at(watch, make_admitted(), upstream(make_announcement, number))
-        assert watch.standing(KEY).verdict is Verdict.HELD
+            await break_run_at(tracker, make_admitted(), upstream(make_announcement, number))
+        assert tracker.standing(KEY).verdict is Verdict.HELD
 
     curio_world.run(main)
 
 
-def test_a_restarted_replica_gets_all_known_cases(watch, sent, make_admitted, make_announcement):
+def test_a_restarted_replica_gets_all_known_cases(tracker, sent, make_admitted, make_announcement):
     async def main():
-        watch.sync_if_restarted("r1", 50.0)
-        await break_at(watch, make_admitted(), upstream(make_announcement, 1))
+        tracker.sync_if_restarted("r1", 50.0)
+        await break_run_at(tracker, make_admitted(), upstream(make_announcement, 1))
         sent.clear()
-        watch.sync_if_restarted("r1", 50.4)
+        tracker.sync_if_restarted("r1", 50.4)
         assert sent == []
-        watch.sync_if_restarted("r1", 0.2)
+        tracker.sync_if_restarted("r1", 0.2)
         assert [to for to, _ in sent] == ["r1"]
 
     curio_world.run(main)
--- a/tests/routed/test_engine_estimator.py
+++ b/tests/routed/test_engine_estimator.py
@@ -1,4 +1,4 @@
-"""What is learnt of engines, against engines that are simulated step by step."""
+"""Estimates of engines, compared with engines that are simulated step by step."""
 
 import dataclasses
 import random
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """Work in steps; each makes a token of a stream, and reads a chunk of a prompt."""
+    """Simulate steps that each produce a token of a stream and prefill a chunk of a prompt."""
 
     tokens_per_ms: float
     chunk_tokens: int
@@ -24,12 +24,12 @@
     def first_event_ms(self, tokens):
         return self.first_ms + self.event_tokens * self.step_ms + tokens / self.tokens_per_ms
 
-    def pauses(self, unread_tokens, begins_at_step):
-        """Return the pauses of a stream that meets so much reading at one of its steps."""
+    def gaps(self, uncached_tokens, starts_at_step):
+        """Return the inter-event gaps of a stream that meets this prefill at one of its steps."""
         steps_ms = []
         for number in range(EVENTS * self.event_tokens):
-            read = min(self.chunk_tokens, unread_tokens) if number >= begins_at_step else 0
-            unread_tokens -= read
+            read = min(self.chunk_tokens, uncached_tokens) if number >= starts_at_step else 0
+            uncached_tokens -= read
             steps_ms.append(self.step_ms + read / self.tokens_per_ms)
         ends = range(0, len(steps_ms), self.event_tokens)
         return [sum(steps_ms[at : at + self.event_tokens]) for at in ends]
@@ -49,7 +49,7 @@
 
 
 def observe(engine, estimator, *, prompts=60, streams=STREAMS, delayed=0.3, seed=1):
-    """Show a rate what callers of an engine see; some runs are delayed by what nobody knows."""
+    """Feed an estimator what callers of an engine see; some runs have unexplained delays."""
     draw = random.Random(seed)
     for _ in range(prompts):
         for tokens in (
@@ -61,10 +61,10 @@
                 tokens, engine.first_event_ms(tokens) + late_ms + draw.uniform(2.0, 4.0)
             )
     for _ in range(streams):
-        unread = draw.choice((0, 3000, 40_000))
-        pauses = sorted(engine.pauses(unread, draw.randrange(EVENTS * engine.event_tokens // 2)))
-        seen = placement_messages.InterEventGaps(pauses[len(pauses) // 2], pauses[-1])
-        estimator.observe_gaps(seen, unread / estimator.tokens_per_ms, engine.event_tokens)
+        uncached = draw.choice((0, 3000, 40_000))
+        gaps = sorted(engine.gaps(uncached, draw.randrange(EVENTS * engine.event_tokens // 2)))
+        seen = placement_messages.InterEventGaps(gaps[len(gaps) // 2], gaps[-1])
+        estimator.observe_gaps(seen, uncached / estimator.tokens_per_ms, engine.event_tokens)
 
 
 def test_engines_are_estimated_from_caller_latencies(engine):
--- a/tests/routed/test_entry_feed.py
+++ b/tests/routed/test_entry_feed.py
@@ -35,7 +35,7 @@
 
 
 def test_a_follower_soon_pushes_to_a_host_without_routing():
-    """Replay a restart of all: hosts knew three replicas, and the leader was another one."""
+    """Regression: after a restart of all, hosts knew three replicas, but not the leader."""
     follower = entry_feed.EntryFeed(boot=8)
     assert _push(follower, 0, 3, 0.0, leads=False) == ()
     assert _versions(_push(follower, 0, 3, 0.12, leads=False)) == [3]
@@ -55,29 +55,29 @@
 
 
 def test_an_entry_host_that_missed_a_change_gets_the_full_view(feed, make_announcement):
-    whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
+    full_view = upstream_types.ViewChange((make_announcement(),), is_whole=True)
     feed.push_view(upstream_types.ViewChange((make_announcement(),)), ["e"], -1.0)
-    assert feed.complete_view("e", _status(boot=7, sequence=1), lambda: whole, 0.0) == ()
-    (send,) = feed.complete_view("e", _status(boot=7, sequence=0), lambda: whole, 0.0)
+    assert feed.repair_view("e", _status(boot=7, sequence=1), lambda: full_view, 0.0) == ()
+    (send,) = feed.repair_view("e", _status(boot=7, sequence=0), lambda: full_view, 0.0)
     assert send.message.change.is_whole
-    assert feed.complete_view("e", _status(boot=7, sequence=0), lambda: whole, 0.1) == ()
-    assert feed.complete_view("e", _status(boot=6, sequence=1), lambda: whole, 2.0)
+    assert feed.repair_view("e", _status(boot=7, sequence=0), lambda: full_view, 0.1) == ()
+    assert feed.repair_view("e", _status(boot=6, sequence=1), lambda: full_view, 2.0)
 
 
 def test_a_status_sent_before_a_change_arrived_triggers_no_full_view(feed, make_announcement):
-    whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
+    full_view = upstream_types.ViewChange((make_announcement(),), is_whole=True)
     for number in range(20):
         now = number * 0.1
         feed.push_view(upstream_types.ViewChange((make_announcement(),)), ["e"], now)
-        held = _status(boot=7, sequence=max(number - 3, 0))
-        assert feed.complete_view("e", held, lambda: whole, now) == ()
-    assert feed.complete_view("e", _status(boot=7, sequence=16), lambda: whole, 2.6)
+        status = _status(boot=7, sequence=max(number - 3, 0))
+        assert feed.repair_view("e", status, lambda: full_view, now) == ()
+    assert feed.repair_view("e", _status(boot=7, sequence=16), lambda: full_view, 2.6)
 
 
 def test_a_host_without_a_view_of_this_boot_gets_it_at_once(feed, make_announcement):
-    whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
+    full_view = upstream_types.ViewChange((make_announcement(),), is_whole=True)
     feed.push_view(upstream_types.ViewChange((make_announcement(),)), ["e"], 0.0)
-    assert feed.complete_view("e", _status(boot=0, sequence=0), lambda: whole, 0.0)
+    assert feed.repair_view("e", _status(boot=0, sequence=0), lambda: full_view, 0.0)
 
 
 def test_an_empty_change_is_not_sent(feed):
--- a/tests/routed/test_entry_session.py
+++ b/tests/routed/test_entry_session.py
@@ -57,8 +57,8 @@
 
 
 def test_a_view_with_a_gap_is_not_confirmed(session, make_announcement):
-    whole = upstream_types.ViewChange((make_announcement(),), is_whole=True)
-    session.apply_message("r1", coordination_messages.ViewPush(9, 4, whole), 0.0)
+    full_view = upstream_types.ViewChange((make_announcement(),), is_whole=True)
+    session.apply_message("r1", coordination_messages.ViewPush(9, 4, full_view), 0.0)
     change = upstream_types.ViewChange(left=("u-1",))
     session.apply_message("r1", coordination_messages.ViewPush(9, 6, change), 0.1)
     status = session.status_for("r1", address="a", zone="z", is_ready=True)
@@ -66,7 +66,7 @@
     assert session.upstream_by_id == {}
 
 
-def _speak(session, now, **up_s_by_id):
+def _send_statuses(session, now, **up_s_by_id):
     for replica_id, up_s in up_s_by_id.items():
         status = coordination_messages.ReplicaStatus("r1", 1, ("r1", "r2", "r3"), 4, up_s)
         session.apply_message(replica_id, status, now)
@@ -77,33 +77,33 @@
 
 def test_entry_hosts_agree_on_an_owner_whatever_the_message_order(session):
     other = entry_session.EntrySession(("r3",))
-    _speak(other, 0.0, r3=50.0)
-    _speak(session, 1.0, r1=51.0, r2=51.0, r3=51.0)
-    _speak(other, 1.0, r2=51.0, r1=51.0, r3=51.0)
+    _send_statuses(other, 0.0, r3=50.0)
+    _send_statuses(session, 1.0, r1=51.0, r2=51.0, r3=51.0)
+    _send_statuses(other, 1.0, r2=51.0, r1=51.0, r3=51.0)
     assert session.owner(SHARD, 1.1) == other.owner(SHARD, 1.1) != ""
 
 
 def test_an_owner_is_replaced_after_its_timeout(session):
-    _speak(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
+    _send_statuses(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
     first = session.owner(SHARD, 0.1)
     late = OWNER_SILENT_S + 0.2
-    _speak(session, late, **{name: 51.0 for name in ("r1", "r2", "r3") if name != first})
+    _send_statuses(session, late, **{name: 51.0 for name in ("r1", "r2", "r3") if name != first})
     assert session.owner(SHARD, late) not in ("", first)
     assert session.owner(SHARD, 9.0) == ""
 
 
 def test_a_restarted_replica_does_not_take_ownership_back(session):
-    _speak(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
+    _send_statuses(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
     first = session.owner(SHARD, 0.1)
-    _speak(session, 0.2, **{first: 1.0})
+    _send_statuses(session, 0.2, **{first: 1.0})
     second = session.owner(SHARD, 0.3)
     assert second != first
-    _speak(session, 0.4, r1=1.0, r2=1.0, r3=1.0)
+    _send_statuses(session, 0.4, r1=1.0, r2=1.0, r3=1.0)
     assert session.owner(SHARD, 0.5) == first
 
 
 def test_the_shards_of_a_service_have_owners_of_their_own(session):
-    _speak(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
+    _send_statuses(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
     owners = {session.owner(placement_messages.Shard("s", n, 12), 0.1) for n in range(12)}
     assert owners == {"r1", "r2", "r3"}
 
@@ -129,8 +129,8 @@
     session, make_announcement
 ):
     engines = [make_announcement(f"u-{n}", address=f"10.0.0.{n}:1") for n in range(30)]
-    whole = upstream_types.ViewChange(tuple(engines), is_whole=True)
-    session.apply_message("r1", coordination_messages.ViewPush(9, 1, whole), 0.0)
+    full_view = upstream_types.ViewChange(tuple(engines), is_whole=True)
+    session.apply_message("r1", coordination_messages.ViewPush(9, 1, full_view), 0.0)
     gone = placement_messages.Shard("engines", 7, 9)
     resolve_shard = session.resolve_shard(gone)
     assert (resolve_shard.index, resolve_shard.count) == (7 % 3, 3)
@@ -138,12 +138,12 @@
         shard = session.shard_of(engine)
         assert shard.count == 3
         assert shard.has(engine.upstream_id)
-    _speak(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
+    _send_statuses(session, 0.0, r1=50.0, r2=50.0, r3=50.0)
     assert session.owner(gone, 0.1) != ""
 
 
 def test_a_joining_host_sends_frequent_statuses_until_all_replicas_answered(session):
-    """Replay a restart of all: what was sent before the links were up cost two periods."""
+    """A status sent before the links are up is lost; without this it cost two periods."""
     joining, usual = entry_session.JOIN_PERIOD_S, status_period.MIN_PERIOD_S
     assert session.status_period_s(0.1) == joining
     session.apply_message("r1", _status(), 0.0)
@@ -171,17 +171,17 @@
 
 
 def test_a_joining_host_sends_frequent_statuses_only_to_replicas_without_an_answer():
-    """Replay a start beside a replica that stands still: 9 replicas were told 38 times in 3 s."""
+    """With one hanging replica of 9, all nine got 38 statuses each within 3 s."""
     seeds = tuple(f"r{number}" for number in range(9))
     session = entry_session.EntrySession(seeds)
-    told = dict.fromkeys(seeds, 0)
+    status_counts = dict.fromkeys(seeds, 0)
     now = 0.0
     while now < entry_session.MAX_JOIN_S:
         for replica_id in session.status_recipients(now):
-            told[replica_id] += 1
+            status_counts[replica_id] += 1
         for replica_id in seeds[1:]:
-            if told[replica_id]:
+            if status_counts[replica_id]:
                 session.apply_message(replica_id, _status(members=seeds), now)
         now += session.status_period_s(now)
-    assert told["r0"] >= 30
-    assert max(told[replica_id] for replica_id in seeds[1:]) <= 9
+    assert status_counts["r0"] >= 30
+    assert max(status_counts[replica_id] for replica_id in seeds[1:]) <= 9
--- a/tests/routed/test_gateway_parts.py
+++ b/tests/routed/test_gateway_parts.py
@@ -17,7 +17,7 @@
 
 
 def test_request_metadata_is_parsed():
-    facts = request_metadata.read(
+    metadata = request_metadata.parse(
         {
             NAMES.attempt_id: "a1",
             NAMES.deadline_ms: "1500",
@@ -27,10 +27,10 @@
         },
         NAMES,
     )
-    assert facts.deadline_ms == 1500.0
-    assert facts.api_key == "key-1"
-    assert [part.tokens for part in facts.parts] == [800, 10]
-    assert facts.output_tokens == 80
+    assert metadata.deadline_ms == 1500.0
+    assert metadata.api_key == "key-1"
+    assert [part.tokens for part in metadata.prompt_segments] == [800, 10]
+    assert metadata.output_tokens == 80
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
 )
 def test_malformed_metadata_is_refused(name, value):
     with pytest.raises(errors.RequestRefusedError):
-        request_metadata.read({name: value}, NAMES)
+        request_metadata.parse({name: value}, NAMES)
 
 
 def test_headers_that_only_the_system_sets_are_removed_from_callers_requests():
@@ -98,7 +98,7 @@
         host = hosts[step % 4]
         host.record_request(now)
         requests.append(now)
-        if host.take(now, entry_hosts=4):
+        if host.try_spend(now, entry_hosts=4):
             repeats.append(now)
     for start in range(50):
         inside = sum(start <= at < start + 10 for at in repeats)
@@ -109,7 +109,7 @@
 
 def test_a_budget_without_requests_still_has_its_share_of_the_burst():
     budget = retry_budget.RetryBudget(retry_budget.BudgetRules(0.2, 40.0, 10.0))
-    assert sum(budget.take(0.0, entry_hosts=4) for _ in range(40)) == 8
+    assert sum(budget.try_spend(0.0, entry_hosts=4) for _ in range(40)) == 8
 
 
 @pytest.mark.parametrize("cut", range(1, 30))
--- a/tests/routed/test_leaving_upstreams.py
+++ b/tests/routed/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that say in their answers that they are leaving."""
+"""Upstreams that signal in their responses that they are leaving."""
 
 import pytest
 
@@ -29,30 +29,30 @@
 
 
 @pytest.fixture
-def watch(session):
+def tracker(session):
     made = backpressure_tracker.BackpressureTracker("e-0", NAMES, session, lambda *_: True)
     made.record_response("u-1", 200, {NAMES.leaving: "1"}, sent_at=0.0, attempt_id="a-1")
     return made
 
 
-def test_a_request_placed_before_the_leaving_signal_is_not_sent(watch):
-    assert not watch.may_send("u-1")
-    assert watch.may_send("u-2")
+def test_a_request_placed_before_the_leaving_signal_is_not_sent(tracker):
+    assert not tracker.may_send("u-1")
+    assert tracker.may_send("u-2")
 
 
-def test_an_upstream_stays_leaving_after_a_response_without_the_signal(watch):
-    watch.record_response("u-1", 200, {}, sent_at=9e9, attempt_id="a-2")
-    assert not watch.may_send("u-1")
+def test_an_upstream_stays_leaving_after_a_response_without_the_signal(tracker):
+    tracker.record_response("u-1", 200, {}, sent_at=9e9, attempt_id="a-2")
+    assert not tracker.may_send("u-1")
 
 
-def test_local_placement_skips_a_leaving_upstream(watch, session, make_place_request):
+def test_local_placement_skips_a_leaving_upstream(tracker, session, make_place_request):
     client = owner_client.OwnerClient(
         "e-0",
         session,
         lambda *_: False,
         request_hold.HoldQueue(),
-        watch.gate,
-        watch.send_known_signals,
+        tracker.gate,
+        tracker.send_known_signals,
     )
 
     async def main():
@@ -66,7 +66,7 @@
 
 
 def test_a_replica_removes_an_upstream_that_is_reported_as_leaving(make_announcement):
-    """The upstream goes on announcing itself as ready."""
+    """The upstream keeps announcing itself as ready."""
     cluster = coordinator_cluster.Cluster()
     cluster.run(4.0)
     cluster.ask("a", coordinator_types.Announce(make_announcement("u-1")))
--- a/tests/routed/test_limited_placement.py
+++ b/tests/routed/test_limited_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go, and what callers are told, while upstreams name rate limits."""
+"""Where requests go, and what callers are answered, while upstreams state rate limits."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def make_limited(ledger, make_announcement):
-    """Return a maker of owners whose first upstreams name limits."""
+    """Return a factory of shard owners whose first upstreams state limits."""
 
     def make(*rates, count=2, slots=8):
         service = shard_owner.ShardOwner(send_gate.SendGate(ledger))
@@ -38,8 +38,8 @@
     return make
 
 
-def place(service, question, now):
-    (answer,) = service.place("e", question, now)
+def place(service, request, now):
+    (answer,) = service.place("e", request, now)
     return answer.message
 
 
@@ -55,8 +55,8 @@
 
 def test_a_request_waits_for_a_limit_that_lets_it_start_in_time(make_limited, make_place_request):
     service = make_limited(2.0, 2.0)
-    question = make_place_request("t", left_ms=2000.0)
-    assert isinstance(place(service, question, 0.0), placement_messages.Queued)
+    request = make_place_request("t", left_ms=2000.0)
+    assert isinstance(place(service, request, 0.0), placement_messages.Queued)
     assert service.serve_waiting(0.4) == ()
     (answer,) = service.serve_waiting(0.5)
     assert isinstance(answer.message, placement_messages.Placed)
@@ -104,7 +104,7 @@
 def test_an_upstream_that_moves_to_another_shard_keeps_its_rate_limit(
     ledger, make_announcement, make_place_request
 ):
-    """A change of the number of parts gives it another owner on the same replica."""
+    """A change of the number of shards gives it another owner on the same replica."""
     ledger.record_response("u-0", 1.0, sent_at=0.0, now=0.0)
     replica = owner.PlacementOwner(send_gate.SendGate(ledger))
     replica.use_upstreams((make_announcement("u-0"),), 0.0)
@@ -122,11 +122,11 @@
     cluster.run(4.0)
     for replica_id in cluster.seeds:
         cluster.ask(replica_id, coordinator_types.Announce(make_announcement("u-1")))
-        told = signal_messages.SignalReport(
+        report = signal_messages.SignalReport(
             (signal_messages.RateLimit("u-1", 2.0, 0.0),),
             (signal_messages.Backoff("u-1", "e-0", 60.0),),
         )
-        cluster.post(replica_id, node.MessageReceived("e-0", told))
+        cluster.post(replica_id, node.MessageReceived("e-0", report))
     cluster.kill("a")
     cluster.start("a")
     cluster.run(0.5)
@@ -138,7 +138,7 @@
 def test_hosts_without_owner_keep_to_a_share_of_a_limit(
     ledger, make_announcement, make_place_request
 ):
-    """An owner that others still reach may use the whole meanwhile."""
+    """An owner that others still reach may use the full limit meanwhile."""
     session = entry_session.EntrySession(())
     present = {"u-1": make_announcement("u-1"), "u-2": make_announcement("u-2")}
     view = upstream_types.ViewChange(tuple(present.values()), is_whole=True)
--- a/tests/routed/test_membership_manager.py
+++ b/tests/routed/test_membership_manager.py
@@ -29,52 +29,52 @@
 
 
 @pytest.fixture
-def desk():
+def manager():
     return membership_manager.MembershipManager(ME, ("r1", "r2", "r3"))
 
 
-def test_hellos_go_to_all_known_replicas(desk):
-    actions = desk.on_time(_status(ME, "r2", "r3"), leads=False, now=0.0)
+def test_hellos_go_to_all_known_replicas(manager):
+    actions = manager.on_tick(_status(ME, "r2", "r3"), leads=False, now=0.0)
     assert {action.to for action in actions if hasattr(action, "to")} == {"r2", "r3"}
 
 
-def test_the_leader_adds_a_replica_that_is_heard(desk):
-    desk.hear("r9", 1.0)
-    assert _changes(desk.on_time(_status(ME, "r2", "r3"), leads=False, now=1.0)) == []
-    assert _changes(desk.on_time(_status(ME, "r2", "r3"), leads=True, now=1.1)) == [("r9", "")]
+def test_the_leader_adds_a_replica_that_is_heard(manager):
+    manager.record_contact("r9", 1.0)
+    assert _changes(manager.on_tick(_status(ME, "r2", "r3"), leads=False, now=1.0)) == []
+    assert _changes(manager.on_tick(_status(ME, "r2", "r3"), leads=True, now=1.1)) == [("r9", "")]
 
 
-def test_a_silent_voter_stays_in_an_odd_group_and_leaves_an_even_one(desk):
+def test_a_silent_voter_stays_in_an_odd_group_and_leaves_an_even_one(manager):
     for now in (0.0, 4.0):
-        desk.hear("r2", now)
-        desk.hear("r4", now)
-        desk.on_time(_status(ME, "r2", "r3", "r4", "r5"), leads=True, now=now)
-    odd = desk.on_time(_status(ME, "r2", "r3", "r4", "r5"), leads=True, now=4.5)
+        manager.record_contact("r2", now)
+        manager.record_contact("r4", now)
+        manager.on_tick(_status(ME, "r2", "r3", "r4", "r5"), leads=True, now=now)
+    odd = manager.on_tick(_status(ME, "r2", "r3", "r4", "r5"), leads=True, now=4.5)
     assert _changes(odd) == []
-    even = desk.on_time(_status(ME, "r2", "r3", "r4"), leads=True, now=5.0)
+    even = manager.on_tick(_status(ME, "r2", "r3", "r4"), leads=True, now=5.0)
     assert _changes(even) == [("", "r3")]
 
 
-def test_a_new_leader_waits_before_it_removes_members(desk):
-    actions = desk.on_time(_status(ME, "r2", "r3", "r4"), leads=True, now=1000.0)
+def test_a_new_leader_waits_before_it_removes_members(manager):
+    actions = manager.on_tick(_status(ME, "r2", "r3", "r4"), leads=True, now=1000.0)
     assert _changes(actions) == []
 
 
-def test_a_learner_that_fell_silent_is_removed(desk):
+def test_a_learner_that_fell_silent_is_removed(manager):
     for now in (0.0, 4.0):
-        desk.hear("r2", now)
-        desk.hear("r3", now)
-        found = _changes(
-            desk.on_time(_status(ME, "r2", "r3", learners=("r9",)), leads=True, now=now)
+        manager.record_contact("r2", now)
+        manager.record_contact("r3", now)
+        changes = _changes(
+            manager.on_tick(_status(ME, "r2", "r3", learners=("r9",)), leads=True, now=now)
         )
-    assert found == [("", "r9")]
+    assert changes == [("", "r9")]
 
 
-def test_a_replica_that_is_silent_for_long_is_forgotten(desk):
-    desk.hear("r9", 0.0)
-    desk.on_time(_status(ME, "r2", "r3"), leads=False, now=membership_manager.FORGET_AFTER_S + 1)
-    assert "r9" not in desk.peers
-    assert "r2" in desk.peers
+def test_a_replica_that_is_silent_for_long_is_forgotten(manager):
+    manager.record_contact("r9", 0.0)
+    manager.on_tick(_status(ME, "r2", "r3"), leads=False, now=membership_manager.FORGET_AFTER_S + 1)
+    assert "r9" not in manager.peers
+    assert "r2" in manager.peers
 
 
 def _wants(actions):
@@ -85,13 +85,16 @@
     }
 
 
-def test_after_a_start_each_replica_is_asked_until_it_has_sent_its_upstreams(desk):
-    """Replay a restart of all: one announcement that came by ended the questions."""
+def test_after_a_start_each_replica_is_asked_until_it_has_sent_its_upstreams(manager):
+    """Regression: after a restart of all, one received announcement ended the requests."""
     status = _status(ME, "r2", "r3")
-    assert _wants(desk.on_time(status, leads=False, now=0.0)) == {"r2": True, "r3": True}
-    desk.record_upstreams_received("r2")
-    later = membership_manager.STARTUP_HELLO_PERIOD_S
-    assert _wants(desk.on_time(status, leads=False, now=later)) == {"r2": False, "r3": True}
-    desk.record_upstreams_received("r3")
-    assert _wants(desk.on_time(status, leads=False, now=2.1 * later)) == {"r2": False, "r3": False}
-    assert not desk.on_time(status, leads=False, now=3.2 * later)
+    assert _wants(manager.on_tick(status, leads=False, now=0.0)) == {"r2": True, "r3": True}
+    manager.record_upstreams_received("r2")
+    period_s = membership_manager.STARTUP_HELLO_PERIOD_S
+    assert _wants(manager.on_tick(status, leads=False, now=period_s)) == {"r2": False, "r3": True}
+    manager.record_upstreams_received("r3")
+    assert _wants(manager.on_tick(status, leads=False, now=2.1 * period_s)) == {
+        "r2": False,
+        "r3": False,
+    }
+    assert not manager.on_tick(status, leads=False, now=3.2 * period_s)
--- a/tests/routed/test_owned_runs.py
+++ b/tests/routed/test_owned_runs.py
@@ -1,4 +1,4 @@
-"""What an owner of placement counts as running, through lost hosts, upstreams and owners."""
+"""Which runs a placement owner counts after losing entry hosts, upstreams or an earlier owner."""
 
 from medlarfork.placement import (
     owner,
@@ -27,7 +27,7 @@
 def test_an_upstream_that_was_absent_for_a_while_keeps_its_runs(
     make_shard_owner, make_announcement, make_place_request
 ):
-    """Replay a cut: engines came back as empty, got twice their slots and stopped requests."""
+    """After a partition, engines seemed empty, got twice their slots and preempted requests."""
     owner = make_shard_owner(count=1, slots=2)
     for n in range(2):
         placement_helpers.placed(owner.place("e", make_place_request(f"t{n}"), 0.0))
@@ -53,12 +53,12 @@
 def test_nothing_is_kept_of_a_ticket_whose_end_was_never_reported(
     make_announcement, make_place_request
 ):
-    whole = owner.PlacementOwner()
-    whole.use_upstreams((make_announcement(slots=9),), 0.0)
+    placement_owner = owner.PlacementOwner()
+    placement_owner.use_upstreams((make_announcement(slots=9),), 0.0)
     for n in range(5):
-        whole.handle("e", make_place_request(f"t{n}", left_ms=1000.0), 0.0)
-    assert whole.tidy(1.1 + upstream_load.LOST_RUN_GRACE_S) == 5
-    assert not whole._shard_by_ticket
+        placement_owner.handle("e", make_place_request(f"t{n}", left_ms=1000.0), 0.0)
+    assert placement_owner.tidy(1.1 + upstream_load.LOST_RUN_GRACE_S) == 5
+    assert not placement_owner._shard_by_ticket
 
 
 def test_a_new_owner_counts_runs_that_an_earlier_one_placed(make_shard_owner, make_place_request):
@@ -79,11 +79,11 @@
 
 
 def test_runs_of_a_host_that_asks_another_owner_are_released(make_announcement, make_place_request):
-    whole = owner.PlacementOwner()
-    whole.use_upstreams((make_announcement(slots=1),), 0.0)
-    whole.handle("e1", make_place_request("a"), 0.0)
-    whole.handle("e2", make_place_request("b"), 0.0)
-    (answer,) = whole.handle(
+    placement_owner = owner.PlacementOwner()
+    placement_owner.use_upstreams((make_announcement(slots=1),), 0.0)
+    placement_owner.handle("e1", make_place_request("a"), 0.0)
+    placement_owner.handle("e2", make_place_request("b"), 0.0)
+    (answer,) = placement_owner.handle(
         "e1",
         placement_messages.OwnerChosen(placement_messages.Shard("engines"), is_chosen=False),
         0.5,
--- a/tests/routed/test_owner_client.py
+++ b/tests/routed/test_owner_client.py
@@ -1,4 +1,4 @@
-"""How an entry host asks owners of placement that come and go."""
+"""Placement requests of an entry host while owners change."""
 
 import curio
 import pytest
@@ -15,7 +15,7 @@
 
 
 class Session:
-    """Name the owner that a test says."""
+    """A fake session with owners set by the test."""
 
     def __init__(self):
         self.owner_id = "r1"
@@ -62,13 +62,13 @@
 
 
 @pytest.fixture
-def told():
-    """Return a list of the replicas that were told the signals of upstreams, and of when."""
+def notified():
+    """Return the list of replicas that got the known backpressure signals, in order."""
     return []
 
 
 @pytest.fixture
-def client(session, sent, unreachable, told):
+def client(session, sent, unreachable, notified):
     def send(replica_id, message):
         if replica_id in unreachable:
             return False
@@ -76,7 +76,9 @@
         return True
 
     gate = send_gate.SendGate(signal_ledger.SignalLedger())
-    return owner_client.OwnerClient("e", session, send, request_hold.HoldQueue(), gate, told.append)
+    return owner_client.OwnerClient(
+        "e", session, send, request_hold.HoldQueue(), gate, notified.append
+    )
 
 
 @pytest.fixture
@@ -84,26 +86,26 @@
     return set()
 
 
-def asked(sent, replica_id):
-    questions = [item for to, item in sent if to == replica_id]
-    return sum(isinstance(item, placement_messages.PlaceRequest) for item in questions)
+def request_count(sent, replica_id):
+    messages = [item for to, item in sent if to == replica_id]
+    return sum(isinstance(item, placement_messages.PlaceRequest) for item in messages)
 
 
 def test_a_queued_request_is_sent_again_after_its_owner_changed_twice(
     session, sent, client, make_place_request
 ):
-    """Replay a restart: owners changed twice within 0.25 s, and 33 callers waited in vain."""
+    """In a restart, owners changed twice within 0.25 s, and 33 queued callers waited in vain."""
 
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t", left_ms=5000.0))
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        await client.take("r1", placement_messages.Queued("t"))
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        await client.handle_reply("r1", placement_messages.Queued("t"))
         for owner_id in ("r2", "r1"):
             session.owner_id = owner_id
             client.notify_owners(0.0)
             await client.wake_queued()
-        await curio_world.until(lambda: asked(sent, "r1") == 2)
-        await client.take("r1", placement_messages.Placed("t", "u-1"))
+        await curio_world.until(lambda: request_count(sent, "r1") == 2)
+        await client.handle_reply("r1", placement_messages.Placed("t", "u-1"))
         assert await placing.join() == placement_messages.Placed("t", "u-1")
 
     curio_world.run(main)
@@ -112,16 +114,16 @@
 def test_a_new_owner_gets_the_estimates_of_the_previous_one(
     session, sent, client, make_place_request
 ):
-    belief = placement_messages.EngineEstimate(41.0, 4096.0, 4.6, 25.0)
+    estimate = placement_messages.EngineEstimate(41.0, 4096.0, 4.6, 25.0)
 
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t"))
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        await client.take("r1", placement_messages.Placed("t", "u-1", "", belief))
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        await client.handle_reply("r1", placement_messages.Placed("t", "u-1", "", estimate))
         await placing.join()
         session.owner_id = "r2"
         client.notify_owners(0.0)
-        chosen = placement_messages.OwnerChosen(SHARD, is_chosen=True, belief=belief)
+        chosen = placement_messages.OwnerChosen(SHARD, is_chosen=True, belief=estimate)
         assert ("r2", chosen) in sent
 
     curio_world.run(main)
@@ -131,21 +133,21 @@
 def test_the_next_owner_is_asked_at_once_if_the_first_does_not_reply(
     session, sent, client, unreachable, make_place_request, is_silent
 ):
-    """Replay an owner that was killed: for 1 s entry hosts placed by what they knew alone."""
+    """After an owner was killed, entry hosts placed requests locally for 1 s."""
 
     async def main():
         if not is_silent:
             unreachable.add("r1")
         placing = await curio.spawn(client.place, make_place_request("t"))
-        await curio_world.until(lambda: asked(sent, "r2") == 1)
-        await client.take("r2", placement_messages.Placed("t", "u-1"))
+        await curio_world.until(lambda: request_count(sent, "r2") == 1)
+        await client.handle_reply("r2", placement_messages.Placed("t", "u-1"))
         assert await placing.join() == placement_messages.Placed("t", "u-1")
         assert client.local_placements == 0
 
     curio_world.run(main)
 
 
-def _questions(sent):
+def _placement_requests(sent):
     return [
         (to, item.shard, item.begins_within_ms, item.other_shard)
         for to, item in sent
@@ -157,16 +159,16 @@
     sent, client, make_place_request
 ):
     async def main():
-        question = make_place_request("t", shard=HOME, other_shard=OTHER)
-        placing = await curio.spawn(client.place, question)
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        await client.take("r1", placement_messages.Busy("t", 900.0))
-        await curio_world.until(lambda: asked(sent, "r9") == 1)
-        await client.take("r9", placement_messages.Busy("t", 1200.0))
-        await curio_world.until(lambda: asked(sent, "r1") == 2)
-        await client.take("r1", placement_messages.Placed("t", "u-1"))
+        request = make_place_request("t", shard=HOME, other_shard=OTHER)
+        placing = await curio.spawn(client.place, request)
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        await client.handle_reply("r1", placement_messages.Busy("t", 900.0))
+        await curio_world.until(lambda: request_count(sent, "r9") == 1)
+        await client.handle_reply("r9", placement_messages.Busy("t", 1200.0))
+        await curio_world.until(lambda: request_count(sent, "r1") == 2)
+        await client.handle_reply("r1", placement_messages.Placed("t", "u-1"))
         assert await placing.join() == placement_messages.Placed("t", "u-1")
-        assert _questions(sent) == [
+        assert _placement_requests(sent) == [
             ("r1", HOME, 0.0, OTHER),
             ("r9", OTHER, 900.0, HOME),
             ("r1", HOME, 0.0, None),
@@ -179,17 +181,17 @@
     sent, client, make_place_request
 ):
     async def main():
-        question = make_place_request("t", shard=HOME, other_shard=OTHER)
-        placing = await curio.spawn(client.place, question)
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        await client.take("r1", placement_messages.Busy("t", 900.0))
-        await curio_world.until(lambda: asked(sent, "r1") == 2)
+        request = make_place_request("t", shard=HOME, other_shard=OTHER)
+        placing = await curio.spawn(client.place, request)
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        await client.handle_reply("r1", placement_messages.Busy("t", 900.0))
+        await curio_world.until(lambda: request_count(sent, "r1") == 2)
         cancelled = placement_messages.RunEnd.CANCELLED
         assert ("r9", placement_messages.RunEnded("t", cancelled, 0.0)) in sent
-        # What the second grants after all is given back, and does not count.
-        await client.take("r9", placement_messages.Placed("t", "u-9"))
+        # A late grant of the second owner is released and ignored.
+        await client.handle_reply("r9", placement_messages.Placed("t", "u-9"))
         assert sent[-1] == ("r9", placement_messages.RunEnded("t", cancelled, 0.0))
-        await client.take("r1", placement_messages.Placed("t", "u-1"))
+        await client.handle_reply("r1", placement_messages.Placed("t", "u-1"))
         assert await placing.join() == placement_messages.Placed("t", "u-1")
 
     curio_world.run(main)
@@ -204,8 +206,8 @@
 
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t", shard=HOME))
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        await client.take("r1", placement_messages.Placed("t", upstream_id))
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        await client.handle_reply("r1", placement_messages.Placed("t", upstream_id))
         await placing.join()
         client.report_moved_runs(0.0)
         assert not [item for _, item in sent if isinstance(item, placement_messages.StillRunning)]
@@ -213,36 +215,36 @@
         client.report_moved_runs(0.0)
         cancelled = placement_messages.RunEnd.CANCELLED
         assert ("r1", placement_messages.RunEnded("t", cancelled, 0.0)) in sent
-        (told,) = [
+        (notified,) = [
             (to, item.upstream_id)
             for to, item in sent
             if isinstance(item, placement_messages.StillRunning)
         ]
-        assert told == (other_owner_id, upstream_id)
+        assert notified == (other_owner_id, upstream_id)
         client.report_moved_runs(0.1)
         assert sum(isinstance(item, placement_messages.StillRunning) for _, item in sent) == 1
-        client.end("t", placement_messages.RunEnd.COMPLETE, 1.0)
+        client.report_end("t", placement_messages.RunEnd.COMPLETE, 1.0)
         assert sent[-1][0] == other_owner_id
 
     curio_world.run(main)
 
 
-@pytest.mark.parametrize("takes", [True, False])
+@pytest.mark.parametrize("accepts", [True, False])
 def test_a_request_refused_by_a_closed_shard_tries_the_other_shards_first(
-    sent, client, make_place_request, takes
+    sent, client, make_place_request, accepts
 ):
     closed = placement_messages.PlaceRefused("t", 3000.0, "closed", CLOSED)
     sooner = placement_messages.PlaceRefused("t", 1000.0, "closed", CLOSED)
-    last = placement_messages.Placed("t", "u-1") if takes else sooner
+    last = placement_messages.Placed("t", "u-1") if accepts else sooner
 
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t", shard=HOME))
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        await client.take("r1", closed)
-        await curio_world.until(lambda: asked(sent, "r9") == 1)
-        await client.take("r9", last)
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        await client.handle_reply("r1", closed)
+        await curio_world.until(lambda: request_count(sent, "r9") == 1)
+        await client.handle_reply("r9", last)
         assert await placing.join() == last
-        assert _questions(sent) == [("r1", HOME, 0.0, None), ("r9", OTHER, 0.0, None)]
+        assert _placement_requests(sent) == [("r1", HOME, 0.0, None), ("r9", OTHER, 0.0, None)]
 
     curio_world.run(main)
 
@@ -250,27 +252,27 @@
 def test_an_ordinary_refusal_is_final(sent, client, make_place_request):
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t", shard=HOME))
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
         refused = placement_messages.PlaceRefused("t", 3000.0, "it would wait too long")
-        await client.take("r1", refused)
+        await client.handle_reply("r1", refused)
         assert await placing.join() == refused
-        assert asked(sent, "r9") == 0
+        assert request_count(sent, "r9") == 0
 
     curio_world.run(main)
 
 
 def test_an_owner_gets_the_known_signals_before_the_first_request(
-    session, sent, client, told, make_place_request
+    session, sent, client, notified, make_place_request
 ):
-    """One that had just started knew no limit, and placed six requests at once on that upstream."""
+    """A new owner that knew no rate limit placed six requests at once on the limited upstream."""
 
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t"))
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
-        assert told == ["r1"]
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
+        assert notified == ["r1"]
         session.owner_id = "r2"
         client.notify_owners(0.0)
-        assert told == ["r1", "r2"]
+        assert notified == ["r1", "r2"]
         await placing.cancel()
 
     curio_world.run(main)
@@ -279,16 +281,16 @@
 def test_a_host_without_a_view_sends_no_placement_request(
     session, sent, client, make_place_request
 ):
-    """Owners placed on upstreams that it did not know, and callers were refused for it."""
+    """Owners chose upstreams that the host did not know yet, so its callers were refused."""
     session.has_view = False
 
     async def main():
         placing = await curio.spawn(client.place, make_place_request("t", left_ms=5000.0))
         await curio.sleep(0.1)
-        assert asked(sent, "r1") == 0
+        assert request_count(sent, "r1") == 0
         session.has_view = True
-        await client._holds.notify_change()
-        await curio_world.until(lambda: asked(sent, "r1") == 1)
+        await client._hold_queue.notify_change()
+        await curio_world.until(lambda: request_count(sent, "r1") == 1)
         await placing.cancel()
 
     curio_world.run(main)
