--- a/tests/routed/test_placement.py
+++ b/tests/routed/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests are placed, by what engines run, read and hold."""
+"""Where requests are placed, by the runs, the prefill and the caches of the engines."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def test_streams_with_tight_gaps_avoid_long_prefill(make_shard_owner, make_place_request):
-    # On this load, least-outstanding placement lost two fifths of the short streams.
+    # Under this load, least-outstanding placement makes two fifths of the short streams late.
     owner = make_shard_owner(slots=64)
     long_at = placement_helpers.placed(
         owner.place("e", make_place_request("long", placement_helpers.LONG, gap_ms=800.0), 0.0)
@@ -30,7 +30,7 @@
 
 
 def test_tight_streams_gather_again_once_there_are_fewer(make_shard_owner, make_place_request):
-    """Replay the end of a burst: streams stayed spread, and long prompts found no engine apart."""
+    """After a burst streams stayed spread, so that long prompts found no free engine."""
     owner = make_shard_owner(count=3, slots=8)
     for n in range(10):
         placement_helpers.placed(
@@ -51,7 +51,7 @@
 
 
 def test_prefill_that_fills_most_of_a_gap_counts_as_harm(make_shard_owner, make_place_request):
-    """Replay short streams: prompts of 90 ms and 66 ms beside them made pauses of 205 ms of 200."""
+    """Prompts of 90 ms and 66 ms beside short streams made gaps of 205 ms of 200 allowed."""
     service = make_shard_owner(count=1, slots=64)
     service.estimator.tokens_per_ms = 64.0
     tight = make_place_request("tight", (("q", 10),), target_ms=300.0, gap_ms=200.0)
@@ -87,7 +87,7 @@
 
 
 def test_a_prefix_that_another_engine_holds_is_fetched(make_shard_owner, make_place_request):
-    """Replay a matter whose engine is busy: a third of all shared parts were read again."""
+    """While the engine with the prefix was busy, a third of all shared segments were recomputed."""
     service = make_shard_owner(count=2, slots=64)
     service.use_engine(
         routing.EngineFacts(64, 1_000_000, 5, token_bytes=163_840, link_mbps=260_000.0)
@@ -152,7 +152,7 @@
 
 
 def test_a_request_waits_for_a_shared_prefix_in_prefill(make_shard_owner, make_place_request):
-    """Replay two long prompts about one matter within 0.1 s: their engine read it for both."""
+    """Two long prompts with one prefix came within 0.1 s, and their engine computed it twice."""
     service = make_shard_owner(count=2, slots=8)
     first = make_place_request("a", placement_helpers.LONG, target_ms=2500.0, left_ms=9000.0)
     engine = placement_helpers.placed(service.place("e", first, 0.0))
@@ -182,7 +182,7 @@
 def test_an_engine_that_broke_a_connection_is_probed_once_before_a_backoff(
     make_shard_owner, make_place_request
 ):
-    """Replay engines that crash by turns: entry hosts lost a request with each old connection."""
+    """Entry hosts lost a request with each old connection to engines that crashed in turn."""
     service = make_shard_owner(slots=64)
     first = placement_helpers.placed(service.place("e", make_place_request("a"), 0.0))
     service.on_ended(placement_helpers.ended("a", placement_messages.RunEnd.BROKEN), 0.1)
@@ -202,7 +202,7 @@
 
 
 def test_occasional_lost_answers_cause_no_backoff(make_shard_owner, make_place_request):
-    """Replay engines that lose one answer in twenty: each was paused for half a second."""
+    """Engines that lose one answer in twenty were each put into a backoff of half a second."""
     service = make_shard_owner(count=1, slots=64)
     for n in range(20):
         service.place("e", make_place_request(f"a{n}", (("x", 100),)), n * 0.1)
@@ -220,13 +220,13 @@
 def test_nothing_is_sent_to_a_failed_engine_while_the_healthy_ones_are_full(
     make_shard_owner, make_place_request
 ):
-    """Replay a burst beside an engine that crashed: what found no slot was lost at the dead one."""
+    """In a burst, requests that found no slot were sent to a crashed engine and lost there."""
     service = make_shard_owner(count=2, slots=2)
-    dead = placement_helpers.placed(service.place("e", make_place_request("a"), 0.0))
+    failed = placement_helpers.placed(service.place("e", make_place_request("a"), 0.0))
     service.on_ended(placement_helpers.ended("a", placement_messages.RunEnd.UNREACHABLE), 0.1)
     for n in range(2):
         assert (
-            placement_helpers.placed(service.place("e", make_place_request(f"b{n}"), 0.2)) != dead
+            placement_helpers.placed(service.place("e", make_place_request(f"b{n}"), 0.2)) != failed
         )
     (answer,) = service.place("e", make_place_request("c"), 0.2)
     assert isinstance(answer.message, placement_messages.Queued)
@@ -236,7 +236,7 @@
 def test_one_request_probes_an_engine_after_its_backoff(
     make_shard_owner, make_place_request, is_back
 ):
-    """Replay a pause that ended while others waited: ten were sent to a dead engine at once."""
+    """When a backoff ended while others were queued, ten were sent to a crashed engine at once."""
     service = make_shard_owner(count=1, slots=64)
     service.place("e", make_place_request("a", (("x", 100),)), 0.0)
     service.on_ended(placement_helpers.ended("a", placement_messages.RunEnd.UNREACHABLE), 0.1)
@@ -256,19 +256,19 @@
 
 
 def test_a_stuck_engine_gets_no_requests_while_others_run(make_shard_owner, make_place_request):
-    """Replay an engine that went dark with a prompt half read: short prompts followed it there."""
+    """An engine became unreachable during a prefill, and short prompts were still sent there."""
     owner = make_shard_owner(slots=64)
-    dark = placement_helpers.placed(
+    stuck = placement_helpers.placed(
         owner.place("e", make_place_request("long", placement_helpers.LONG, gap_ms=800.0), 0.0)
     )
     for n in range(20):
         short = make_place_request(f"s{n}", ((f"p{n}", 100),), gap_ms=200.0)
-        assert placement_helpers.placed(owner.place("e", short, 2.0 + n)) != dark
+        assert placement_helpers.placed(owner.place("e", short, 2.0 + n)) != stuck
         owner.on_first_event(placement_messages.FirstEvent(f"s{n}", 20.0), 2.02 + n)
 
 
 def test_prompts_are_not_placed_beyond_an_engine_s_memory(make_shard_owner, make_place_request):
-    """Replay sixteen slots filled with long prompts: engines stopped runs to make room."""
+    """Sixteen slots filled with long prompts made engines preempt runs to free memory."""
     owner = make_shard_owner(count=1, slots=64)
     for n in range(7):
         placement_helpers.placed(
@@ -291,7 +291,7 @@
 
 
 def test_the_steps_of_an_event_count_towards_the_gap():
-    """Replay short streams: an event of 5 tokens beside reading took 197 ms of the 200 allowed."""
+    """An event of 5 tokens during prefill took 197 ms of the 200 that a short stream allows."""
     estimator = engine_estimator.EngineEstimator()
     estimator.tokens_per_ms = 58.0
     estimator.chunk_tokens = 2048.0
@@ -303,17 +303,17 @@
 def test_segments_are_cached_if_the_routing_arrives_after_the_engines(
     make_announcement, make_place_request
 ):
-    whole = owner.PlacementOwner()
+    placement_owner = owner.PlacementOwner()
     present = tuple(make_announcement(f"u-{n}", slots=64) for n in range(3))
-    whole.use_upstreams(present, 0.0)
-    whole.use_services((routing.Service("engines", engine=placement_helpers.ENGINE),))
-    (first,) = whole.handle("e", make_place_request("a", placement_helpers.LONG), 0.0)
-    whole.handle("e", placement_helpers.ended("a"), 1.0)
-    (second,) = whole.handle(
+    placement_owner.use_upstreams(present, 0.0)
+    placement_owner.use_services((routing.Service("engines", engine=placement_helpers.ENGINE),))
+    (first,) = placement_owner.handle("e", make_place_request("a", placement_helpers.LONG), 0.0)
+    placement_owner.handle("e", placement_helpers.ended("a"), 1.0)
+    (second,) = placement_owner.handle(
         "e", make_place_request("b", (*placement_helpers.LONG[:2], ("other", 10))), 2.0
     )
     assert first.message.upstream_id == second.message.upstream_id
-    load = whole._owner_by_shard[placement_messages.Shard("engines")].load_by_id[
+    load = placement_owner._owner_by_shard[placement_messages.Shard("engines")].load_by_id[
         first.message.upstream_id
     ]
     assert load.run_by_ticket["b"].prefill_tokens == 10
@@ -356,11 +356,11 @@
 
 
 def test_decisions_are_drained_once_with_their_inputs(make_announcement, make_place_request):
-    whole = owner.PlacementOwner()
-    whole.use_upstreams((make_announcement(slots=1),), 0.0)
-    whole.handle("e", make_place_request("a"), 0.0)
-    whole.handle("e", make_place_request("b"), 0.1)
-    placed, queued = whole.drain_decisions()
+    placement_owner = owner.PlacementOwner()
+    placement_owner.use_upstreams((make_announcement(slots=1),), 0.0)
+    placement_owner.handle("e", make_place_request("a"), 0.0)
+    placement_owner.handle("e", make_place_request("b"), 0.1)
+    placed, queued = placement_owner.drain_decisions()
     assert (placed.decision_inputs.candidates, placed.decision_inputs.running) == (1, 0)
     assert isinstance(queued.message, placement_messages.Queued)
-    assert whole.drain_decisions() == ()
+    assert placement_owner.drain_decisions() == ()
--- a/tests/routed/test_request_hold.py
+++ b/tests/routed/test_request_hold.py
@@ -1,4 +1,4 @@
-"""What callers meet while a deployment has just been started again."""
+"""Requests to a deployment that has just been restarted."""
 
 import time
 
@@ -11,11 +11,11 @@
 
 
 def test_a_request_before_the_first_routing_is_held(tmp_path):
-    async def main(world):
-        await world.add_upstream()
-        calling = await curio.spawn(lambda: world.call(**{NAMES.deadline_ms: "5000"}))
+    async def main(deployment):
+        await deployment.add_upstream()
+        calling = await curio.spawn(lambda: deployment.call(**{NAMES.deadline_ms: "5000"}))
         await curio.sleep(0.2)
-        await world.put_routing()
+        await deployment.put_routing()
         response = await calling.join()
         assert (response.status, await response.read()) == (200, b"done")
 
@@ -23,11 +23,11 @@
 
 
 def test_a_request_before_the_first_upstream_is_held(tmp_path):
-    async def main(world):
-        await world.put_routing()
-        calling = await curio.spawn(world.call)
+    async def main(deployment):
+        await deployment.put_routing()
+        calling = await curio.spawn(deployment.call)
         await curio.sleep(0.5)
-        await world.add_upstream()
+        await deployment.add_upstream()
         response = await calling.join()
         assert (response.status, await response.read()) == (200, b"done")
 
@@ -35,31 +35,31 @@
 
 
 def test_a_request_held_until_its_deadline_gets_a_retry_after(tmp_path):
-    async def main(world):
-        began_at = time.monotonic()
-        response = await world.call(**{NAMES.deadline_ms: "400"})
+    async def main(deployment):
+        started_at = time.monotonic()
+        response = await deployment.call(**{NAMES.deadline_ms: "400"})
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
-        assert 0.2 < time.monotonic() - began_at < 0.4
+        assert 0.2 < time.monotonic() - started_at < 0.4
 
     routed_harness.run(tmp_path, main)
 
 
 def test_a_caller_that_disconnects_frees_its_place_in_the_hold_queue(tmp_path):
-    async def main(world):
-        upstream = await world.add_upstream()
-        calling = await curio.spawn(world.call)
-        await curio_world.until(lambda: world.entry._holds.held == 1)
+    async def main(deployment):
+        upstream = await deployment.add_upstream()
+        calling = await curio.spawn(deployment.call)
+        await curio_world.until(lambda: deployment.entry._hold_queue.held == 1)
         await calling.cancel()
-        await curio_world.until(lambda: world.entry._holds.held == 0)
-        await world.put_routing()
+        await curio_world.until(lambda: deployment.entry._hold_queue.held == 0)
+        await deployment.put_routing()
         assert upstream.seen == []
 
     routed_harness.run(tmp_path, main)
 
 
 def test_the_number_of_held_requests_is_limited(monkeypatch):
-    monkeypatch.setattr(request_hold, "MOST_HELD", 2)
+    monkeypatch.setattr(request_hold, "MAX_HELD", 2)
 
     async def main():
         holds = request_hold.HoldQueue()
@@ -67,8 +67,8 @@
             for _ in range(2):
                 await group.spawn(holds.wait, lambda: False, 0.3)
             await curio_world.until(lambda: holds.held == 2)
-            began_at = time.monotonic()
+            started_at = time.monotonic()
             assert not await holds.wait(lambda: False, 9.0)
-            assert time.monotonic() - began_at < 0.1
+            assert time.monotonic() - started_at < 0.1
 
     curio_world.run(main)
--- a/tests/routed/test_routed_deployment.py
+++ b/tests/routed/test_routed_deployment.py
@@ -1,4 +1,4 @@
-"""Requests through a whole deployment: HTTP on both sides, links and logs in between."""
+"""Requests through a complete deployment: HTTP on both sides, links and replicated log between."""
 
 import json
 
@@ -13,11 +13,11 @@
 
 
 def test_a_request_reaches_its_upstream_and_the_answer_comes_back(tmp_path):
-    async def main(world):
-        upstream = await world.add_upstream()
-        await world.put_routing(accounts=[{"name": "shop", "api_keys": ["k-1"]}])
-        await world.until_upstreams(1)
-        response = await world.call(
+    async def main(deployment):
+        upstream = await deployment.add_upstream()
+        await deployment.put_routing(accounts=[{"name": "shop", "api_keys": ["k-1"]}])
+        await deployment.until_upstreams(1)
+        response = await deployment.call(
             "/p/x?q=1",
             authorization="Bearer k-1",
             **{NAMES.account: "forged", NAMES.deadline_ms: "900"},
@@ -35,12 +35,12 @@
 
 
 def test_invalid_requests_are_refused_with_their_status(tmp_path):
-    async def main(world):
-        assert (await world.call()).status == 503
-        await world.put_routing(accounts=[{"name": "shop", "api_keys": ["k-1"]}])
-        assert (await world.call(authorization="Bearer no")).status == 401
-        assert (await world.call("/none/")).status == 404
-        response = await world.call(authorization="Bearer k-1")
+    async def main(deployment):
+        assert (await deployment.call()).status == 503
+        await deployment.put_routing(accounts=[{"name": "shop", "api_keys": ["k-1"]}])
+        assert (await deployment.call(authorization="Bearer no")).status == 401
+        assert (await deployment.call("/none/")).status == 404
+        response = await deployment.call(authorization="Bearer k-1")
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
 
@@ -51,7 +51,7 @@
 def test_a_lost_answer_is_retried_elsewhere_only_if_the_request_is_repeatable(
     tmp_path, kind, status, runs
 ):
-    async def main(world):
+    async def main(deployment):
         ran = []
 
         async def fail_once(exchange):
@@ -60,18 +60,18 @@
                 return
             await routed_harness.answer_plainly(exchange)
 
-        await world.add_upstream(fail_once)
-        await world.add_upstream(fail_once)
-        await world.put_routing(kind=kind, max_attempts=2)
-        await world.until_upstreams(2)
-        assert (await world.call()).status == status
+        await deployment.add_upstream(fail_once)
+        await deployment.add_upstream(fail_once)
+        await deployment.put_routing(kind=kind, max_attempts=2)
+        await deployment.until_upstreams(2)
+        assert (await deployment.call()).status == status
         assert len(ran) == runs
 
     routed_harness.run(tmp_path, main)
 
 
 def test_a_request_that_was_not_executed_is_retried_elsewhere(tmp_path):
-    async def main(world):
+    async def main(deployment):
         refused = []
 
         async def refuse_once(exchange):
@@ -82,24 +82,24 @@
                 return
             await routed_harness.answer_plainly(exchange)
 
-        await world.add_upstream(refuse_once)
-        await world.add_upstream(refuse_once)
-        await world.put_routing(kind="unsafe")
-        await world.until_upstreams(2)
-        assert (await world.call()).status == 200
+        await deployment.add_upstream(refuse_once)
+        await deployment.add_upstream(refuse_once)
+        await deployment.put_routing(kind="unsafe")
+        await deployment.until_upstreams(2)
+        assert (await deployment.call()).status == 200
 
     routed_harness.run(tmp_path, main)
 
 
 def test_a_response_to_another_request_is_not_passed_on(tmp_path):
-    async def main(world):
+    async def main(deployment):
         async def answer_another(exchange):
             await exchange.respond(200, {NAMES.attempt_id: "another"}, b"foreign")
 
-        await world.add_upstream(answer_another)
-        await world.put_routing(kind="unsafe")
-        await world.until_upstreams(1)
-        response = await world.call()
+        await deployment.add_upstream(answer_another)
+        await deployment.put_routing(kind="unsafe")
+        await deployment.until_upstreams(1)
+        response = await deployment.call()
         assert response.status == 502
         assert b"foreign" not in await response.read()
 
@@ -127,34 +127,34 @@
 
 
 def test_a_broken_stream_resumes_at_another_upstream(tmp_path):
-    async def main(world):
+    async def main(deployment):
         answers = [_stream(5, break_after=2), _stream(5)]
 
         async def next_answer(exchange):
             await answers.pop(0)(exchange)
 
-        await world.add_upstream(next_answer)
-        await world.add_upstream(next_answer)
-        await world.put_routing(kind="streaming", may_resume=True, max_attempts=2)
-        await world.until_upstreams(2)
-        response = await world.call()
+        await deployment.add_upstream(next_answer)
+        await deployment.add_upstream(next_answer)
+        await deployment.put_routing(kind="streaming", may_resume=True, max_attempts=2)
+        await deployment.until_upstreams(2)
+        response = await deployment.call()
         assert await response.read() == b"".join(_event(number) for number in range(1, 6))
 
     routed_harness.run(tmp_path, main)
 
 
 def test_a_stalled_stream_resumes_at_another_upstream(tmp_path):
-    async def main(world):
+    async def main(deployment):
         answers = [_stall, _stream(3)]
 
         async def next_answer(exchange):
             await answers.pop(0)(exchange)
 
-        first = await world.add_upstream(next_answer)
-        second = await world.add_upstream(next_answer)
-        await world.put_routing(kind="streaming", may_resume=True, max_attempts=2, gap_ms=100)
-        await world.until_upstreams(2)
-        response = await world.call()
+        first = await deployment.add_upstream(next_answer)
+        second = await deployment.add_upstream(next_answer)
+        await deployment.put_routing(kind="streaming", may_resume=True, max_attempts=2, gap_ms=100)
+        await deployment.until_upstreams(2)
+        response = await deployment.call()
         assert await response.read() == b"".join(_event(number) for number in range(1, 4))
         assert first.cancelled + second.cancelled == 1
 
@@ -162,11 +162,11 @@
 
 
 def test_a_broken_stream_that_can_not_resume_does_not_look_complete(tmp_path):
-    async def main(world):
-        upstream = await world.add_upstream(_stream(5, break_after=2))
-        await world.put_routing(kind="streaming")
-        await world.until_upstreams(1)
-        response = await world.call()
+    async def main(deployment):
+        upstream = await deployment.add_upstream(_stream(5, break_after=2))
+        await deployment.put_routing(kind="streaming")
+        await deployment.until_upstreams(1)
+        response = await deployment.call()
         with pytest.raises(errors.UpstreamError):
             await response.read()
         assert len(upstream.seen) == 1
@@ -182,68 +182,70 @@
 
 
 @pytest.fixture
-def cut_while_waited_for(monkeypatch):
-    """Collect the connections that are cut while a task waits for their callers' end."""
+def aborted_while_waited_for(monkeypatch):
+    """Collect the exchanges that are aborted while a task waits for the caller's disconnect."""
     waited_for = set()
     collected = []
     wait, abort = http_server.Exchange.wait_caller_gone, http_server.Exchange.abort
 
-    async def noted_wait(exchange):
+    async def recorded_wait(exchange):
         waited_for.add(exchange)
         try:
             await wait(exchange)
         finally:
             waited_for.discard(exchange)
 
-    async def noted_abort(exchange):
+    async def recorded_abort(exchange):
         if exchange in waited_for:
             collected.append(exchange)
         await abort(exchange)
 
-    monkeypatch.setattr(http_server.Exchange, "wait_caller_gone", noted_wait)
-    monkeypatch.setattr(http_server.Exchange, "abort", noted_abort)
+    monkeypatch.setattr(http_server.Exchange, "wait_caller_gone", recorded_wait)
+    monkeypatch.setattr(http_server.Exchange, "abort", recorded_abort)
     return collected
 
 
-def test_a_stream_past_its_timeout_is_aborted_after_all_tasks_ended(tmp_path, cut_while_waited_for):
-    # Cutting from a task beside the one that waits for the caller's end once ended the process: the
-    # next connection got the closed descriptor's number, and the kernel mixed the two up.
+def test_a_stream_past_its_timeout_is_aborted_after_all_tasks_ended(
+    tmp_path, aborted_while_waited_for
+):
+    # Aborting while another task waits for the caller's disconnect crashed the process: the next
+    # connection got the closed descriptor's number, and curio confused the two.
 
-    async def main(world):
-        upstream = await world.add_upstream(_stall)
-        await world.put_routing(kind="streaming", timeout_ms=300)
-        await world.until_upstreams(1)
+    async def main(deployment):
+        upstream = await deployment.add_upstream(_stall)
+        await deployment.put_routing(kind="streaming", timeout_ms=300)
+        await deployment.until_upstreams(1)
         for _ in range(4):
-            response = await world.call()
+            response = await deployment.call()
             with pytest.raises(errors.UpstreamError):
                 await response.read()
-            assert (await world.call("/none/")).status == 404
+            assert (await deployment.call("/none/")).status == 404
         await curio_world.until(lambda: upstream.cancelled == 4)
-        assert cut_while_waited_for == []
+        assert aborted_while_waited_for == []
 
     routed_harness.run(tmp_path, main)
 
 
 def test_a_request_without_an_answer_fails_at_the_timeout(tmp_path):
-    async def main(world):
+    async def main(deployment):
         async def sleep(exchange):
             await curio.sleep(60)
 
-        upstream = await world.add_upstream(sleep)
-        await world.put_routing(kind="unsafe", timeout_ms=300)
-        await world.until_upstreams(1)
-        assert (await world.call()).status == 504
+        upstream = await deployment.add_upstream(sleep)
+        await deployment.put_routing(kind="unsafe", timeout_ms=300)
+        await deployment.until_upstreams(1)
+        assert (await deployment.call()).status == 504
         await curio_world.until(lambda: upstream.cancelled == 1)
 
     routed_harness.run(tmp_path, main)
 
 
 def test_the_upstream_request_is_cancelled_when_the_caller_disconnects(tmp_path):
-    async def main(world):
-        upstream = await world.add_upstream(_stall)
-        await world.put_routing(kind="streaming")
-        await world.until_upstreams(1)
-        response = await world.call()
+    async def main(deployment):
+        upstream = await deployment.add_upstream(_stall)
+        await deployment.put_routing(kind="streaming")
+        await deployment.until_upstreams(1)
+        response = await deployment.call()
         await response.close()
         await curio_world.until(lambda: upstream.cancelled == 1)
 
@@ -251,16 +253,16 @@
 
 
 def test_a_leaving_upstream_gets_no_request_after_the_acknowledgement(tmp_path):
-    async def main(world):
-        first = await world.add_upstream()
-        second = await world.add_upstream()
-        await world.put_routing()
-        await world.until_upstreams(2)
+    async def main(deployment):
+        first = await deployment.add_upstream()
+        second = await deployment.add_upstream()
+        await deployment.put_routing()
+        await deployment.until_upstreams(2)
         status, _ = await first.announce(is_leaving=True, sequence=2)
         assert status == 200
-        await world.until_upstreams(1)
+        await deployment.until_upstreams(1)
         for _ in range(6):
-            assert (await world.call()).status == 200
+            assert (await deployment.call()).status == 200
         assert first.seen == []
         assert len(second.seen) == 6
 
@@ -268,14 +270,14 @@
 
 
 def test_requests_are_served_without_the_leader(tmp_path):
-    async def main(world):
-        upstream = await world.add_upstream()
-        await world.put_routing()
-        await world.until_upstreams(1)
-        leader = world.leader()
-        await world.control_by_id.pop(leader).close()
+    async def main(deployment):
+        upstream = await deployment.add_upstream()
+        await deployment.put_routing()
+        await deployment.until_upstreams(1)
+        leader = deployment.leader()
+        await deployment.control_by_id.pop(leader).close()
         for _ in range(5):
-            assert (await world.call()).status == 200
+            assert (await deployment.call()).status == 200
             await curio.sleep(0.1)
         assert len(upstream.seen) == 5
 
@@ -283,28 +285,30 @@
 
 
 def test_the_directory_lists_a_ready_entry_host_but_not_a_stopping_one(tmp_path):
-    async def main(world):
+    async def main(deployment):
         port = routed_harness.DIRECTORY_PORT
-        assert (await world.ask_control(0, "GET", "/v1/entries?zone=z1", port=port))[0] == 503
-        await world.put_routing()
+        assert (await deployment.ask_control(0, "GET", "/v1/entries?zone=z1", port=port))[0] == 503
+        await deployment.put_routing()
         for _ in range(100):
-            status, body = await world.ask_control(1, "GET", "/v1/entries?zone=z1", port=port)
+            status, body = await deployment.ask_control(1, "GET", "/v1/entries?zone=z1", port=port)
             if status == 200:
                 break
             await curio.sleep(0.05)
-        assert json.loads(body)["addresses"] == [f"{world.network}.50:{routed_harness.ENTRY_PORT}"]
-        stopping = await curio.spawn(world.entry.stop)
+        assert json.loads(body)["addresses"] == [
+            f"{deployment.network}.50:{routed_harness.ENTRY_PORT}"
+        ]
+        stopping = await curio.spawn(deployment.entry.stop)
         await curio.sleep(0.3)
-        assert (await world.ask_control(1, "GET", "/v1/entries?zone=z1", port=port))[0] == 503
-        assert (await world.call("/none/")).status == 404
+        assert (await deployment.ask_control(1, "GET", "/v1/entries?zone=z1", port=port))[0] == 503
+        assert (await deployment.call("/none/")).status == 404
         await stopping.join()
 
     routed_harness.run(tmp_path, main)
 
 
 def test_routing_versions_only_increase_and_invalid_ones_change_nothing(tmp_path):
-    async def main(world):
-        await world.put_routing(5)
+    async def main(deployment):
+        await deployment.put_routing(5)
         for version, changes, expected in (
             (5, {"name": "other"}, 200),
             (4, {}, 200),
@@ -312,9 +316,9 @@
             (9, {"targets": [{"service": "nobody"}]}, 400),
         ):
             body = json.dumps(routed_harness.routing_body(version, **changes))
-            assert (await world.ask_control(1, "PUT", "/v1/routing", body))[0] == expected
-        assert (await world.ask_control(2, "PUT", "/v1/routing", '{"version": 9'))[0] == 400
-        status, body = await world.ask_control(2, "GET", "/v1/routing")
+            assert (await deployment.ask_control(1, "PUT", "/v1/routing", body))[0] == expected
+        assert (await deployment.ask_control(2, "PUT", "/v1/routing", '{"version": 9'))[0] == 400
+        status, body = await deployment.ask_control(2, "GET", "/v1/routing")
         assert (status, json.loads(body)) == (
             200,
             routed_harness.routing_body(5) | {"accounts": []},
@@ -324,37 +328,39 @@
 
 
 def test_a_replica_with_an_empty_disk_and_an_added_one_join(tmp_path):
-    async def main(world):
-        await world.put_routing(3)
-        lost, *_ = (item for item in world.replica_ids if item != world.leader())
-        await world.control_by_id.pop(lost).close()
+    async def main(deployment):
+        await deployment.put_routing(3)
+        lost, *_ = (item for item in deployment.replica_ids if item != deployment.leader())
+        await deployment.control_by_id.pop(lost).close()
         for path in (tmp_path / lost).iterdir():
             path.unlink()
-        await world.start_replica(lost)
-        added = f"{world.network}.9"
-        await world.start_replica(added)
+        await deployment.start_replica(lost)
+        added = f"{deployment.network}.9"
+        await deployment.start_replica(added)
 
         def voters():
-            status = world.control_by_id[added]._runner._node._replica.status
+            status = deployment.control_by_id[added]._runner._node._replica.status
             return () if status.voters is None else status.voters.voters
 
-        await curio_world.until(lambda: set(voters()) == {*world.replica_ids, added})
+        await curio_world.until(lambda: set(voters()) == {*deployment.replica_ids, added})
 
     routed_harness.run(tmp_path, main)
 
 
 def test_a_coordinator_reports_its_health_and_counts_its_decisions(tmp_path):
-    async def main(world):
-        await world.add_upstream()
-        await world.put_routing()
-        await world.until_upstreams(1)
-        await world.call()
+    async def main(deployment):
+        await deployment.add_upstream()
+        await deployment.put_routing()
+        await deployment.until_upstreams(1)
+        await deployment.call()
         texts = []
-        for replica_id in world.replica_ids:
+        for replica_id in deployment.replica_ids:
             base = f"http://{replica_id}:{routed_harness.HEALTH_PORT}"
-            response = await world.client.request(base, "GET", "/", {}, b"", timeout_s=2.0)
+            response = await deployment.client.request(base, "GET", "/", {}, b"", timeout_s=2.0)
             assert (response.status, await response.read()) == (200, b"ready\n")
-            metrics = await world.client.request(base, "GET", "/metrics", {}, b"", timeout_s=2.0)
+            metrics = await deployment.client.request(
+                base, "GET", "/metrics", {}, b"", timeout_s=2.0
+            )
             texts.append((await metrics.read()).decode())
         placed = 'medlar_coordinator_events_total{event="placed"} 1.0'
         assert sum(placed in text for text in texts) == 1
--- a/tests/routed/test_routing_state.py
+++ b/tests/routed/test_routing_state.py
@@ -1,4 +1,4 @@
-"""Commands of the log may come in any order of versions; the highest one is in force."""
+"""Commands may be in the log in any order of versions; the highest version is in force."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("version", [3, 5])
 def test_a_version_that_is_not_higher_changes_nothing(state, version):
-    """Replay two operators whose changes are both in the log, the higher one first."""
+    """Changes of two operators are both in the log, the higher version first."""
     assert not state.apply(routing_state.pack(version, b"other"))
     assert (state.current.version, state.current.body) == (5, b"five")
 
--- a/tests/routed/test_send_gate.py
+++ b/tests/routed/test_send_gate.py
@@ -23,7 +23,7 @@
 
 
 def send_when_open(gate, times, share=1.0):
-    """Send at each of these times at which the gate is open; return when that was."""
+    """Send at each of these times at which the gate is open; return the times of sending."""
     sent = []
     for now in times:
         if gate.wait_s("u-1", "e-0", now, share) <= 0:
@@ -107,7 +107,7 @@
 @hypothesis.given(split=st.integers(0, len(HOSTS)), now=st.floats(0.0, 60.0))
 @hypothesis.settings(max_examples=60, derandomize=True, deadline=None)
 def test_two_owners_keep_to_one_limit_together(split, now):
-    """Hosts that were cut apart ask two owners: each uses its hosts' part."""
+    """Hosts on two sides of a partition ask two owners: each owner uses its hosts' share."""
     ordered = sorted(HOSTS)
     sides = frozenset(ordered[:split]), frozenset(ordered[split:])
     total = 0.0
--- a/tests/routed/test_signal_ledger.py
+++ b/tests/routed/test_signal_ledger.py
@@ -1,4 +1,4 @@
-"""What ledgers of upstreams' words agree on, in whatever order they hear them."""
+"""Ledgers of backpressure signals agree in whatever order they merge reports."""
 
 import hypothesis
 import pytest
@@ -35,7 +35,7 @@
 
 
 def test_a_delayed_report_ends_no_limit_that_was_stated_meanwhile(ledger):
-    """Its age is reckoned from its arrival, which makes it as much younger as it was under way."""
+    """Its age counts from its arrival, so it seems newer by the time that it was in transit."""
     slow = signal_ledger.SignalLedger()
     slow.record_response("u-1", 2.0, sent_at=0.0, now=1.0)
     slow.record_response("u-1", None, sent_at=5.0, now=5.05)
@@ -56,11 +56,13 @@
     late = other.report(("u-1",), 1.0)
     ledger.merge(late, 1.0)
     ledger.record_response("u-1", None, sent_at=2.0, now=2.5)
-    kept_back_s = 3.0
+    delay_s = 3.0
     aged = signal_messages.SignalReport(
-        tuple(signal_messages.RateLimit(told.upstream_id, told.rate, 3.0) for told in late.limits)
+        tuple(
+            signal_messages.RateLimit(limit.upstream_id, limit.rate, 3.0) for limit in late.limits
+        )
     )
-    merged = ledger.merge(aged, 1.0 + kept_back_s)
+    merged = ledger.merge(aged, 1.0 + delay_s)
     assert merged.outdated == ("u-1",)
     assert ledger.rate("u-1") is None
 
@@ -72,7 +74,7 @@
 
 
 def test_a_lasting_limit_is_reported_again_before_others_evict_it(ledger):
-    """Only its host's ledger knew that it was still named; the owner of placement let it go."""
+    """Only its host's ledger kept a limit that was still stated; the placement owner evicted it."""
     other = signal_ledger.SignalLedger()
     for minute in range(40):
         now = 60.0 * minute + 1.0
--- a/tests/routed/test_spillover.py
+++ b/tests/routed/test_spillover.py
@@ -1,4 +1,4 @@
-"""Requests whose part of the upstreams is busy ask another part."""
+"""Requests whose shard is busy ask another shard."""
 
 import dataclasses
 import heapq
@@ -34,8 +34,8 @@
     make_place_request,
 ):
     request = _long(make_place_request, shard=HOME, other_shard=OTHER)
-    reading_ms = 5500 / TOKENS_PER_MS
-    expected_ms = 1250.0 + spillover.SPILL_RECOMPUTE_FACTOR * reading_ms
+    prefill_ms = 5500 / TOKENS_PER_MS
+    expected_ms = 1250.0 + spillover.SPILL_RECOMPUTE_FACTOR * prefill_ms
     assert spillover.max_start_ms(request, TOKENS_PER_MS) == pytest.approx(expected_ms)
 
 
@@ -48,20 +48,18 @@
     make_place_request,
 ):
     request = _long(make_place_request, shard=OTHER, other_shard=HOME, begins_within_ms=1500.0)
-    most_ms = spillover.max_start_ms(request, TOKENS_PER_MS)
-    assert most_ms == pytest.approx(
-        1500.0 - spillover.SPILL_RECOMPUTE_FACTOR * 5500 / TOKENS_PER_MS
-    )
+    max_ms = spillover.max_start_ms(request, TOKENS_PER_MS)
+    assert max_ms == pytest.approx(1500.0 - spillover.SPILL_RECOMPUTE_FACTOR * 5500 / TOKENS_PER_MS)
 
 
 def test_a_busy_shard_is_not_asked_for_a_while(make_place_request):
-    """Replay a burst that fills all parts: each request asked three times."""
+    """In a burst that fills all shards, each request was asked for three times."""
     busy = spillover.BusyShards()
-    asked = make_place_request("t", SHORT, shard=HOME, other_shard=OTHER)
-    assert busy.may_ask(asked, 0.0)
+    request = make_place_request("t", SHORT, shard=HOME, other_shard=OTHER)
+    assert busy.may_ask(request, 0.0)
     busy.record(make_place_request("back", SHORT, shard=HOME, busy_shard=OTHER), 0.0)
-    assert not busy.may_ask(asked, 0.1)
-    assert busy.may_ask(asked, spillover.BUSY_RETENTION_S + 0.01)
+    assert not busy.may_ask(request, 0.1)
+    assert busy.may_ask(request, spillover.BUSY_RETENTION_S + 0.01)
     second = make_place_request("s", SHORT, shard=HOME, other_shard=OTHER, begins_within_ms=9.0)
     assert busy.may_ask(second, 0.1)
     assert not busy.may_ask(make_place_request("last", SHORT, shard=HOME), 0.5)
@@ -70,16 +68,16 @@
 def test_an_owner_keeps_no_state_of_a_request_that_spills(make_shard_owner, make_place_request):
     service = make_shard_owner(count=1, slots=1)
     service.place("e", make_place_request("first", SHORT, target_ms=300.0), 0.0)
-    asked = make_place_request("second", SHORT, target_ms=300.0, other_shard=OTHER)
-    (answer,) = service.place("e", asked, 0.0)
+    request = make_place_request("second", SHORT, target_ms=300.0, other_shard=OTHER)
+    (answer,) = service.place("e", request, 0.0)
     assert isinstance(answer.message, placement_messages.Busy)
     assert service.waiting == 0
-    (answer,) = service.place("e", dataclasses.replace(asked, other_shard=None), 0.0)
+    (answer,) = service.place("e", dataclasses.replace(request, other_shard=None), 0.0)
     assert isinstance(answer.message, placement_messages.Queued)
 
 
 class _Fleet:
-    """Run requests on the engines of several parts; each reads one prompt after the other."""
+    """Run requests on the engines of several shards; each prefills one prompt after the other."""
 
     def __init__(self, make_announcement, parts, engines):
         self.shards = [placement_messages.Shard("engines", n, parts) for n in range(parts)]
@@ -96,21 +94,21 @@
             self.owners.append(owner)
         self.due = []
         self.order = itertools.count()
-        self.read_until = {}
+        self.prefill_until = {}
         self.asked_at = {}
         self.part_by_ticket = {}
-        self.began_ms = {}
+        self.start_ms_by_ticket = {}
         self.refused = 0
         self.asked = 0
 
     def ask(self, part, other, request, now):
         """Ask as an entry host does."""
         self.asked_at[request.ticket_id] = now
-        turns = [(part, other, 0.0)]
+        attempts = [(part, other, 0.0)]
         if other is not None:
-            turns += [(other, part, None), (part, None, 0.0)]
+            attempts += [(other, part, None), (part, None, 0.0)]
         within_ms = 0.0
-        for here, there, bound in turns:
+        for here, there, bound in attempts:
             self.part_by_ticket[request.ticket_id] = here
             asked = dataclasses.replace(
                 request,
@@ -122,19 +120,19 @@
             self.asked += 1
             answers = self.owners[here].place("e", asked, now)
             if not isinstance(answers[0].message, placement_messages.Busy):
-                self.take(answers, now)
+                self.handle(answers, now)
                 return
             within_ms = answers[0].message.begins_ms
 
-    def take(self, answers, now):
+    def handle(self, answers, now):
         for answer in answers:
             match answer.message:
                 case placement_messages.Placed(ticket_id, upstream_id):
-                    begins = max(self.read_until.get(upstream_id, now), now)
-                    begins += answer.decision_inputs.cost.prefill_tokens / TOKENS_PER_MS / 1000.0
-                    self.read_until[upstream_id] = begins
-                    heapq.heappush(self.due, (begins, next(self.order), ticket_id, False))
-                    heapq.heappush(self.due, (begins + 1.5, next(self.order), ticket_id, True))
+                    starts = max(self.prefill_until.get(upstream_id, now), now)
+                    starts += answer.decision_inputs.cost.prefill_tokens / TOKENS_PER_MS / 1000.0
+                    self.prefill_until[upstream_id] = starts
+                    heapq.heappush(self.due, (starts, next(self.order), ticket_id, False))
+                    heapq.heappush(self.due, (starts + 1.5, next(self.order), ticket_id, True))
                 case placement_messages.PlaceRefused():
                     self.refused += 1
 
@@ -143,20 +141,20 @@
             now, _, ticket_id, is_end = heapq.heappop(self.due)
             owner = self.owners[self.part_by_ticket[ticket_id]]
             if is_end:
-                self.take(owner.on_ended(placement_helpers.ended(ticket_id), now), now)
+                self.handle(owner.on_ended(placement_helpers.ended(ticket_id), now), now)
             else:
-                self.began_ms[ticket_id] = (now - self.asked_at[ticket_id]) * 1000.0
+                self.start_ms_by_ticket[ticket_id] = (now - self.asked_at[ticket_id]) * 1000.0
                 first = placement_messages.FirstEvent(ticket_id, 1.0)
                 owner.on_first_event(first, now)
         for owner in self.owners:
-            self.take(owner.serve_waiting(until), until)
+            self.handle(owner.serve_waiting(until), until)
 
 
 @pytest.mark.parametrize("is_hot", [True, False])
 def test_a_burst_with_few_affinity_keys_is_served_by_engines_with_capacity(
     is_hot, make_announcement, make_place_request
 ):
-    """Replay a burst of long prompts of which a third is about the matters of one of four parts."""
+    """In a burst of long prompts, a third has affinity keys that belong to one of four shards."""
     late = {}
     for spills in (False, True):
         fleet = _Fleet(make_announcement, parts=4, engines=4)
@@ -165,10 +163,10 @@
         for number in range(700):
             now += draw.expovariate(75.0)
             fleet.run_until(now)
-            matter = draw.randrange(40)
-            part = 0 if is_hot and draw.random() < 0.3 else matter % 4
-            other = (part + 1 + matter % 3) % 4 if spills else None
-            parts = (("common", 500), (f"m{part}-{matter}", 4900), (f"own-{number}", 6000))
+            key = draw.randrange(40)
+            part = 0 if is_hot and draw.random() < 0.3 else key % 4
+            other = (part + 1 + key % 3) % 4 if spills else None
+            parts = (("common", 500), (f"m{part}-{key}", 4900), (f"own-{number}", 6000))
             request = dataclasses.replace(
                 _long(make_place_request, f"t-{number}"),
                 parts=tuple(placement_messages.PromptSegment(*part) for part in parts),
@@ -176,9 +174,9 @@
             fleet.ask(part, other, request, now)
         for step in range(600):
             fleet.run_until(now + step * 0.05)
-        on_time = sum(begins_ms <= 2500.0 for begins_ms in fleet.began_ms.values())
+        on_time = sum(start_ms <= 2500.0 for start_ms in fleet.start_ms_by_ticket.values())
         late[spills] = 700 - on_time
-        assert len(fleet.began_ms) + fleet.refused == 700
+        assert len(fleet.start_ms_by_ticket) + fleet.refused == 700
     assert late[True] <= late[False]
     if is_hot:
         assert late[True] < 0.5 * late[False]
@@ -203,5 +201,5 @@
             output_tokens=300,
         )
         fleet.ask(part, (part + 1) % 4, request, now)
-    # 2.8 a request where what was found is not remembered.
+    # Without remembering busy shards, it is 2.8 per request.
     assert fleet.asked <= 1.3 * 800
--- a/tests/routed/test_step_window.py
+++ b/tests/routed/test_step_window.py
@@ -5,20 +5,20 @@
 
 @pytest.fixture
 def window():
-    made = step_window.StepWindow()
-    made.configure(event_tokens=4, step_ms=5.0, chunk_ms=100.0)
-    return made
+    window = step_window.StepWindow()
+    window.configure(event_tokens=4, step_ms=5.0, chunk_ms=100.0)
+    return window
 
 
 def test_consecutive_prompts_fall_into_one_event(window):
-    """Replay prompts of 110 ms each as the one before ends: an event took 336 ms of 300."""
+    """Prompts of 110 ms, each arriving as the one before ends: an event took 336 ms of 300."""
     now = 0.0
-    foreseen = []
+    predicted = []
     for _ in range(5):
-        foreseen.append(window.concurrent_prefill_ms(now) + 95.0)
+        predicted.append(window.concurrent_prefill_ms(now) + 95.0)
         window.add(95.0, now)
         now += 0.1
-    assert foreseen == pytest.approx([95.0, 190.0, 285.0, 380.0, 380.0], abs=1.0)
+    assert predicted == pytest.approx([95.0, 190.0, 285.0, 380.0, 380.0], abs=1.0)
 
 
 def test_steps_without_prefill_start_a_new_event(window):
--- a/tests/routed/test_suspect_requests.py
+++ b/tests/routed/test_suspect_requests.py
@@ -1,4 +1,4 @@
-"""A request whose standing changes while it waits for an upstream."""
+"""Requests whose crash verdict changes while they wait for placement."""
 
 import time
 import types
@@ -16,7 +16,7 @@
 
 
 class Crashes:
-    """Say what a test's list says, one after the other, and then the last."""
+    """A fake tracker that returns a list of verdicts in order, and then repeats the last."""
 
     def __init__(self, *standings):
         self.standings = list(standings)
@@ -24,7 +24,7 @@
     def standing(self, key):
         return self.standings.pop(0) if len(self.standings) > 1 else self.standings[0]
 
-    async def is_suspect(self, key, upstream_id, own_breaks):
+    async def is_suspect(self, key, upstream_id, broken_runs):
         return self.standing(key).verdict is crash_ledger.Verdict.HELD
 
     def record_abandoned_run(self, key, upstream):
@@ -32,13 +32,13 @@
 
 
 class Owner:
-    """Place every request, and note which asked for a trial and which were given back."""
+    """A fake owner that records trial keys and released placements."""
 
     def __init__(self):
         self.refuses_trials = False
         self.cause = placement_messages.RefusalCause.TRIAL
         self.asked = []
-        self.given_back = 0
+        self.released = 0
 
     def new_ticket_id(self):
         return f"t-{len(self.asked)}"
@@ -49,12 +49,12 @@
             return placement_messages.PlaceRefused(request.ticket_id, 1000.0, "", self.cause)
         return placement_messages.Placed(request.ticket_id, "u-1")
 
-    def end(self, ticket_id, end, after_ms, pauses=None):
-        self.given_back += end is placement_messages.RunEnd.CANCELLED
+    def report_end(self, ticket_id, end, after_ms, pauses=None):
+        self.released += end is placement_messages.RunEnd.CANCELLED
 
 
 class Exchange:
-    """Take the answer."""
+    """A fake exchange that records the answer."""
 
     started = False
     head = types.SimpleNamespace(headers={}, method="POST", target="/p/x")
@@ -66,7 +66,7 @@
 
 
 class SentError(Exception):
-    """The request was sent."""
+    """Raised when the request is sent."""
 
 
 @pytest.fixture
@@ -80,14 +80,18 @@
 
     def serve_one(*standings, find_upstream=_sent):
         exchange = Exchange()
-        facts = types.SimpleNamespace(
-            parts=(), output_tokens=0, last_event_id="", attempt_id="a-1", deadline_ms=None
+        metadata = types.SimpleNamespace(
+            prompt_segments=(),
+            output_tokens=0,
+            last_event_id="",
+            attempt_id="a-1",
+            deadline_ms=None,
         )
         now = time.monotonic()
         admitted = request_types.AdmittedRequest(
-            exchange, facts, make_route(), "k", "engines", "shop", 0, b"", now, now + 5.0
+            exchange, metadata, make_route(), "k", "engines", "shop", 0, b"", now, now + 5.0
         )
-        tools = types.SimpleNamespace(
+        shared = types.SimpleNamespace(
             owner=owner,
             crashes=Crashes(*standings),
             shards=lambda service, key: (placement_messages.Shard(service), None),
@@ -95,7 +99,7 @@
             find_upstream=find_upstream,
             backpressure=types.SimpleNamespace(may_send=lambda upstream_id: True),
         )
-        curio_world.run(request_pipeline.RequestPipeline(admitted, tools).serve)
+        curio_world.run(request_pipeline.RequestPipeline(admitted, shared).serve)
         return exchange
 
     return serve_one
@@ -113,7 +117,7 @@
     assert exchange.status == 503
     assert float(exchange.headers["Retry-After"]) == 30.0
     assert b'"ends_upstreams"' in exchange.body
-    assert owner.given_back == len(standings) - 1
+    assert owner.released == len(standings) - 1
 
 
 @pytest.mark.parametrize(
@@ -127,7 +131,7 @@
 
 
 def test_a_suspect_request_waits_for_the_trial_of_another_and_runs_once_cleared(serve, owner):
-    """Those that many callers send were refused while the first of them proved them sound."""
+    """Equal requests of many callers were refused while the first one's trial cleared them."""
     owner.refuses_trials = True
     with pytest.raises(SentError):
         serve(TRIAL, TRIAL, FREE)
@@ -135,7 +139,7 @@
 
 
 def test_a_suspect_request_is_refused_after_the_maximum_trial_wait(serve, owner, monkeypatch):
-    monkeypatch.setattr(request_pipeline, "TRIAL_WAIT_S", 0.25)
+    monkeypatch.setattr(request_pipeline, "MAX_TRIAL_WAIT_S", 0.25)
     owner.refuses_trials = True
     exchange = serve(TRIAL)
     assert exchange.status == 503
@@ -157,7 +161,7 @@
 
 
 class Breaking:
-    """Break the first run; others like it lost a second upstream meanwhile."""
+    """Fails the first run; crashes under other requests with the key put it on trial meanwhile."""
 
     def __init__(self):
         self.runs = 0
@@ -172,7 +176,7 @@
 def test_a_request_with_one_broken_run_is_retried_on_trial_after_a_crash_under_another(
     serve, owner
 ):
-    """It got 502 after its second upstream had refused the connection; the next would serve it."""
+    """It got 502 after its second upstream refused the connection; the next one could serve it."""
     with pytest.raises(SentError):
         serve(FREE, FREE, TRIAL, find_upstream=Breaking().find)
     assert owner.asked == ["", "k"]
--- a/tests/routed/test_trial_manager.py
+++ b/tests/routed/test_trial_manager.py
@@ -1,4 +1,4 @@
-"""Requests under which upstreams ended run one at a time, and held ones hardly ever."""
+"""Requests under which upstreams crashed run one at a time, and held ones rarely."""
 
 import pytest
 
@@ -18,31 +18,31 @@
 
 
 @pytest.fixture
-def desk(ledger):
+def manager(ledger):
     return trial_manager.TrialManager(ledger)
 
 
 @pytest.fixture
-def ask(desk, make_place_request):
-    """Return a function that says whether a ticket may run now."""
+def ask(manager, make_place_request):
+    """Return a function that tells whether a ticket may run now."""
 
     def ask_one(ticket_id, now):
-        return desk.ask(make_place_request(ticket_id, trial_key=KEY), now) is None
+        return manager.request_trial(make_place_request(ticket_id, trial_key=KEY), now) is None
 
     return ask_one
 
 
-def test_one_runs_at_a_time(desk, ask):
+def test_one_runs_at_a_time(manager, ask):
     assert ask("t-1", 1.0)
-    assert ask("t-1", 1.1), "asked once more after the owner was chosen anew"
+    assert ask("t-1", 1.1), "the same ticket asks again after its owner changed"
     assert not ask("t-2", 1.2)
-    desk.on_ended("t-1", RunEnd.COMPLETE, 1.3)
+    manager.on_ended("t-1", RunEnd.COMPLETE, 1.3)
     assert ask("t-3", 1.4)
 
 
-def test_the_next_trial_waits_until_the_last_result_could_be_reported(desk, ask, ledger):
+def test_the_next_trial_waits_until_the_last_result_could_be_reported(manager, ask, ledger):
     assert ask("t-1", 1.0)
-    desk.on_ended("t-1", RunEnd.BROKEN, 1.2)
+    manager.on_ended("t-1", RunEnd.BROKEN, 1.2)
     assert not ask("t-2", 1.2 + trial_manager.SETTLE_S / 2)
     ledger.record_crash(KEY, "u-9", 1.2, 1.3)
     assert not ask("t-3", 20.0)
@@ -55,7 +55,7 @@
     assert ask("t-3", 1.0 + 1.0 + trial_manager.REPORT_GRACE_S + 0.1)
 
 
-def test_a_refusal_states_a_retry_delay(desk, ledger, make_place_request):
+def test_a_refusal_states_a_retry_delay(manager, ledger, make_place_request):
     ledger.record_crash(KEY, "u-9", 0.0, 0.0)
-    refused = desk.ask(make_place_request("t", trial_key=KEY), 10.0)
+    refused = manager.request_trial(make_place_request("t", trial_key=KEY), 10.0)
     assert refused.retry_after_ms == pytest.approx(20_000.0)
--- a/tests/routed/test_upstream_registry.py
+++ b/tests/routed/test_upstream_registry.py
@@ -56,49 +56,49 @@
     registry.mark_silent(upstream_registry.GONE_RETENTION_S - 1)
     assert registry.announce(make_announcement(), 1.0).is_empty
     registry.mark_silent(upstream_registry.GONE_RETENTION_S + 1)
-    assert registry.whole().left == ()
+    assert registry.full_view().left == ()
 
 
-def started(make_announcement, born_ms, name="u-1", **changes):
-    """Return the announcement of an upstream that says when it was started."""
+def make_started(make_announcement, born_ms, name="u-1", **changes):
+    """Return the announcement of an upstream with its start time."""
     upstream_id = upstream_types.incarnation_id(name, born_ms)
     return make_announcement(upstream_id, name=name, born_ms=born_ms, **changes)
 
 
 def test_a_restart_under_the_same_name_replaces_the_older_start(registry, make_announcement):
-    before = started(make_announcement, 1000, sequence=50)
+    before = make_started(make_announcement, 1000, sequence=50)
     registry.announce(before, 0.0)
-    again = started(make_announcement, 2000, sequence=1, address="10.0.0.2:80")
+    again = make_started(make_announcement, 2000, sequence=1, address="10.0.0.2:80")
     change = registry.announce(again, 1.0)
     assert (change.present, change.left) == ((again,), (before.upstream_id,))
     assert registry.present == (again,)
-    assert registry.announce(started(make_announcement, 1000, sequence=51), 2.0).is_empty
+    assert registry.announce(make_started(make_announcement, 1000, sequence=51), 2.0).is_empty
     assert registry.present == (again,)
 
 
 @pytest.mark.parametrize("name", ["u-1", "u-2"])
 def test_an_older_start_does_not_displace_a_newer_one(registry, make_announcement, name):
-    newer = started(make_announcement, 2000)
+    newer = make_started(make_announcement, 2000)
     registry.announce(newer, 0.0)
-    assert registry.announce(started(make_announcement, 1000, name=name), 1.0).is_empty
+    assert registry.announce(make_started(make_announcement, 1000, name=name), 1.0).is_empty
     registry.mark_silent(10.0)
-    assert registry.announce(started(make_announcement, 1000, name=name), 11.0).is_empty
+    assert registry.announce(make_started(make_announcement, 1000, name=name), 11.0).is_empty
     assert registry.announce(newer, 12.0).present == (newer,)
 
 
 def test_a_start_that_left_does_not_block_the_next_one(registry, make_announcement):
-    before = started(make_announcement, 1000)
+    before = make_started(make_announcement, 1000)
     registry.announce(before, 0.0)
     assert registry.withdraw("u-1", 1.0).left == (before.upstream_id, "u-1")
-    assert registry.announce(started(make_announcement, 1000, sequence=9), 2.0).is_empty
-    again = started(make_announcement, 2000)
+    assert registry.announce(make_started(make_announcement, 1000, sequence=9), 2.0).is_empty
+    again = make_started(make_announcement, 2000)
     assert registry.announce(again, 3.0).present == (again,)
 
 
 def test_a_leave_of_an_older_start_ends_that_one_alone(registry, make_announcement):
-    newer = started(make_announcement, 2000)
+    newer = make_started(make_announcement, 2000)
     registry.announce(newer, 0.0)
     registry.withdraw(upstream_types.incarnation_id("u-1", 1000), 1.0)
-    late = started(make_announcement, 1000, is_leaving=True)
+    late = make_started(make_announcement, 1000, is_leaving=True)
     registry.announce(late, 1.0)
     assert registry.present == (newer,)
--- a/tests/routed/test_upstream_view.py
+++ b/tests/routed/test_upstream_view.py
@@ -49,11 +49,11 @@
 def test_a_change_that_another_replica_reported_before_keeps_the_view(make_announcement):
     view = upstream_view.UpstreamView()
     view.apply("a", _whole(make_announcement()))
-    told = view.by_id
+    before = view.by_id
     view.apply("b", upstream_types.ViewChange((make_announcement(),)))
     view.apply("c", _whole(make_announcement()))
     view.apply("c", upstream_types.ViewChange(left=("u-9",)))
-    assert view.by_id is told
+    assert view.by_id is before
     view.apply("a", upstream_types.ViewChange(silent=("u-1",)))
     assert set(view.by_id) == {"u-1"}
     for replica_id in "bc":
--- a/tests/routed/test_wait_queue.py
+++ b/tests/routed/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Who waits with the owner of placement, in which order, and who is refused."""
+"""Which requests are queued at the placement owner, in which order, and which are refused."""
 
 import collections
 
@@ -40,7 +40,7 @@
 
 
 def test_only_the_kind_with_the_longest_target_is_refused(make_shard_owner, make_place_request):
-    # On this load, requests of a middle target were refused while longer ones began.
+    # Under this load, requests with a middle target were refused while less urgent ones started.
     service = make_shard_owner(count=1, slots=64)
     for n in range(30):
         service.place("e", make_place_request(f"l{n}", ((f"p{n}", 12_000),), target_ms=1500.0), 0.0)
@@ -51,7 +51,7 @@
 
 
 def test_overdue_long_prompts_do_not_hold_up_short_ones(make_shard_owner, make_place_request):
-    """Replay a queue of long prompts that are all late when a short one comes."""
+    """All long prompts in the queue are late when a short one arrives."""
     service = make_shard_owner(count=1, slots=1)
     placement_helpers.placed(service.place("e", make_place_request("runs"), 0.0))
     for n in range(5):
@@ -78,7 +78,7 @@
 def test_a_pass_over_many_waiting_requests_compares_few_upstreams(
     make_shard_owner, make_place_request, monkeypatch
 ):
-    """Replay an owner that fell behind: hundreds wait, and each end led to trying them all."""
+    """An owner fell behind because each ended run led to trying hundreds of queued requests."""
     service = make_shard_owner(count=45, slots=16)
     for n in range(45):
         tight = make_place_request(f"t{n}", (("q", 10),), target_ms=300.0, gap_ms=100.0)
@@ -88,8 +88,10 @@
         service.place("e", long, 0.0)
     assert service.waiting > 500
     compared = []
-    reckon = placement_cost.cost
-    monkeypatch.setattr(placement_cost, "cost", lambda *given: compared.append(1) or reckon(*given))
+    compute_cost = placement_cost.cost
+    monkeypatch.setattr(
+        placement_cost, "cost", lambda *given: compared.append(1) or compute_cost(*given)
+    )
     started = sum(
         len(service.on_ended(placement_helpers.ended(f"t{n}"), 0.1 + n / 1000.0)) for n in range(45)
     )
@@ -100,11 +102,11 @@
 def test_a_second_of_an_overload_costs_an_owner_a_part_of_its_processor(
     make_shard_owner, make_place_request, monkeypatch
 ):
-    """Replay a shard of 12 engines whose owner fell half a second behind at 139 requests a second.
+    """The owner of 12 engines fell half a second behind at 139 requests a second.
 
-    Entry hosts then placed 101 requests in a second by themselves on engines that were full, and 43
-    of the most urgent kind were stopped there while less urgent ones ran on. A comparison takes 25
-    us, and half of a replica's 0.645 of a core is for all else that it does.
+    Entry hosts then placed 101 requests in a second without it on full engines, and 43 of the most
+    urgent kind were preempted there while less urgent ones ran on. A comparison takes 25 us, and
+    half of a replica's 0.645 of a core is for all its other work.
     """
     service = make_shard_owner(count=12, slots=16)
     for n in range(96):
@@ -117,8 +119,10 @@
         service.place("e", long, 0.0)
     assert service.waiting > 200
     compared = []
-    reckon = placement_cost.cost
-    monkeypatch.setattr(placement_cost, "cost", lambda *given: compared.append(1) or reckon(*given))
+    compute_cost = placement_cost.cost
+    monkeypatch.setattr(
+        placement_cost, "cost", lambda *given: compared.append(1) or compute_cost(*given)
+    )
     for tick in range(500):
         now = 0.1 + tick / 500.0
         service.on_ended(placement_helpers.ended(f"t{tick % 96}"), now)
@@ -150,7 +154,7 @@
 def test_a_long_prompt_that_will_be_late_is_still_served_while_its_caller_waits(
     make_shard_owner, make_place_request
 ):
-    """Replay a burst of long prompts whose callers wait seven targets: one in six was refused."""
+    """In a burst of long prompts whose callers wait seven targets, one in six was refused."""
     service = make_shard_owner(count=1, slots=64)
     tight = make_place_request(
         "tight", (("q", 10),), target_ms=300.0, gap_ms=100.0, left_ms=60_000.0
@@ -188,7 +192,7 @@
         ({"left_ms": 6000.0, "output_tokens": 200}, 1.0, 5.9),
         ({"left_ms": 9000.0, "first_left_ms": 4000.0}, 3.0, 3.95),
     ],
-    ids=["it could not end any more", "its caller leaves before it begins"],
+    ids=["it can not end in time", "its caller leaves before it begins"],
 )
 def test_a_late_long_prompt_is_refused_once_it_is_of_no_use(
     make_shard_owner, make_place_request, limits, waits_s, refused_s
@@ -203,7 +207,7 @@
 
 
 def test_a_caller_that_would_leave_gets_a_retry_delay_before(make_shard_owner, make_place_request):
-    """Replay full slots: 73 callers left after 2.4 s, and did not come back."""
+    """With full slots, 73 callers left after 2.4 s and did not come back."""
     service = make_shard_owner(count=1, slots=1)
     placement_helpers.placed(service.place("e", make_place_request("runs", left_ms=60_000.0), 0.0))
     short = make_place_request(
@@ -219,11 +223,11 @@
 def test_in_an_overload_of_short_prompts_some_are_late_and_not_all(
     make_shard_owner, make_place_request
 ):
-    """Replay slots that free a quarter too slowly: oldest first, most began after their target."""
+    """Slots free a quarter too slowly. With the oldest first, most started after their target."""
     service = make_shard_owner(count=1, slots=1)
     long = make_place_request("t0", (("q", 60),), target_ms=2500.0, left_ms=60_000.0)
     placement_helpers.placed(service.place("e", long, 0.0))
-    running, begun_by_wait = "t0", collections.Counter()
+    running, on_time_counts = "t0", collections.Counter()
     asked_at = {}
     for step in range(1, 400):
         now = step * 0.01
@@ -236,14 +240,14 @@
         for answer in answers:
             if isinstance(answer.message, placement_messages.Placed):
                 running = answer.message.ticket_id
-                begun_by_wait[now - asked_at[running] <= 0.4] += 1
-    assert begun_by_wait[True] > 0.95 * begun_by_wait.total()
+                on_time_counts[now - asked_at[running] <= 0.4] += 1
+    assert on_time_counts[True] > 0.95 * on_time_counts.total()
 
 
 def test_a_long_prompt_that_fits_into_the_gaps_of_many_streams_is_not_held(
     make_shard_owner, make_place_request
 ):
-    """Replay engines that read a tenth of the time while long prompts were held and refused."""
+    """Engines spent a tenth of the time on prefill while long prompts were held and refused."""
     service = make_shard_owner(count=1, slots=64)
     service.estimator.tokens_per_ms = 41.4
     service.estimator.step_ms = 4.6
--- a/tests/test_claim_table.py
+++ b/tests/test_claim_table.py
@@ -1,4 +1,4 @@
-"""Test the claim table's shares, retention and snapshots."""
+"""Tests of the claim table: quotas, retention and snapshots."""
 
 import dataclasses
 import random
@@ -24,20 +24,20 @@
     return uuid7.make(ms, random.Random(number).randbytes(uuid7.RANDOM_BYTES))
 
 
-def _ask(table, key, now_ms=0, holder=None):
+def _request(table, key, now_ms=0, holder=None):
     return table.request(claim.ClaimRequest(key, holder or _holder(), "b"), now_ms).verdict
 
 
 def _fill(table, account, now_ms=0, first=0):
-    """Take claims until one is refused and return how many were granted."""
+    """Add claims until one is refused and return how many were granted."""
     granted = 0
-    while _ask(table, _key(f"{first + granted}", account), now_ms) is _Verdict.GRANTED:
+    while _request(table, _key(f"{first + granted}", account), now_ms) is _Verdict.GRANTED:
         granted += 1
     return granted
 
 
 def _copy(table, limits):
-    """Return the table after a trip through a snapshot."""
+    """Return the table restored from its own snapshot."""
     encoded = msgspec.msgpack.encode(table.state())
     state = msgspec.msgpack.decode(encoded, type=_claim_table.ClaimTableState)
     return _claim_table.ClaimTable(limits, state)
@@ -57,7 +57,7 @@
 
 def test_an_account_that_takes_all_it_can_leaves_room_for_each_of_the_others(table):
     granted = [_fill(table, account) for account in "abcd"]
-    # Its own part of 100, then half of what is left of the shared 400.
+    # Its reservation of 100, then half of what is left of the shared 400.
     assert granted == [300, 200, 150, 125]
     assert len(table) < 800
 
@@ -68,8 +68,8 @@
     for round_ in range(3):
         for account in "abc":
             for number in range(50):
-                gone = _key(str(number + round_ * 50), account)
-                table.abandon(claim.ClaimAbandon(gone, _holder()), 0)
+                abandoned_key = _key(str(number + round_ * 50), account)
+                table.abandon(claim.ClaimAbandon(abandoned_key, _holder()), 0)
             _fill(table, account, first=1000 * (round_ + 1))
     assert _fill(table, "quiet") >= 100
 
@@ -87,20 +87,20 @@
 
 
 def test_account_numbers_are_reused_the_lowest_first():
-    shares = _claim_quotas.ClaimQuotas(claims=10, accounts=1)
+    quotas = _claim_quotas.ClaimQuotas(claims=10, accounts=1)
     for name in "abc":
-        shares.add(shares.number_of(name))
+        quotas.add(quotas.assign_number(name))
     for number in (2, 0):
-        shares.remove(number)
-    assert shares.names == ("", "b", "")
-    copy = _claim_quotas.ClaimQuotas(claims=10, accounts=1, names=shares.names)
+        quotas.remove(number)
+    assert quotas.names == ("", "b", "")
+    copy = _claim_quotas.ClaimQuotas(claims=10, accounts=1, names=quotas.names)
     copy.add(1)
-    assert [item.number_of("d") for item in (shares, copy)] == [0, 0]
+    assert [item.assign_number("d") for item in (quotas, copy)] == [0, 0]
 
 
 def test_a_dated_key_is_refused_after_retention_and_an_undated_one_runs_again(table):
     dated, undated = _key(_dated(0)), _key("k")
-    assert {_ask(table, key) for key in (dated, undated)} == {_Verdict.GRANTED}
+    assert {_request(table, key) for key in (dated, undated)} == {_Verdict.GRANTED}
     for now_ms, key, verdict in (
         (999, dated, _Verdict.RUNNING),
         (1000, dated, _Verdict.KEY_EXPIRED),
@@ -109,58 +109,58 @@
         (5000, dated, _Verdict.KEY_EXPIRED),
     ):
         table.expire(now_ms)
-        assert _ask(table, key, now_ms, _holder("r2")) is verdict, now_ms
+        assert _request(table, key, now_ms, _holder("r2")) is verdict, now_ms
 
 
 def test_an_expired_key_stays_refused_after_retention_is_lengthened(table, limits):
     key = _key(_dated(10))
-    assert _ask(table, key, 10) is _Verdict.GRANTED
+    assert _request(table, key, 10) is _Verdict.GRANTED
     table.expire(1500)
     assert len(table) == 0
     longer = dataclasses.replace(limits, retention_ms=100_000)
-    assert _ask(_copy(table, longer), key, 1500) is _Verdict.KEY_EXPIRED
-    assert _ask(_copy(table, longer), _key(_dated(600)), 1500) is _Verdict.GRANTED
+    assert _request(_copy(table, longer), key, 1500) is _Verdict.KEY_EXPIRED
+    assert _request(_copy(table, longer), _key(_dated(600)), 1500) is _Verdict.GRANTED
 
 
 def test_a_claim_granted_again_is_not_removed_when_its_first_grant_would_have_expired(table):
     key = _key("k")
-    _ask(table, key, 0)
+    _request(table, key, 0)
     table.abandon(claim.ClaimAbandon(key, _holder()), 0)
-    assert _ask(table, key, 3000, _holder("again")) is _Verdict.GRANTED
+    assert _request(table, key, 3000, _holder("again")) is _Verdict.GRANTED
     table.expire(5000)
-    assert _ask(table, key, 5000, _holder("third")) is _Verdict.RUNNING
+    assert _request(table, key, 5000, _holder("third")) is _Verdict.RUNNING
 
 
 def test_a_claim_expires_on_time_although_its_expiry_step_has_not_passed():
     limits = _claim_table.ClaimLimits(retention_ms=10**6, undated_retention_ms=10**6)
     table = _claim_table.ClaimTable(limits)
-    _ask(table, _key("k"), 0)
+    _request(table, _key("k"), 0)
     for now_ms, verdict in ((10**6 - 1, _Verdict.RUNNING), (10**6, _Verdict.GRANTED)):
         table.expire(now_ms)
         assert len(table) == 1
-        assert _ask(table, _key("k"), now_ms, _holder("r2")) is verdict
+        assert _request(table, _key("k"), now_ms, _holder("r2")) is verdict
 
 
 def test_the_number_of_answers_is_bounded_also_if_they_are_empty(table):
     empty = claim.StoredAnswer(204, "", b"")
     for text in "xyz":
-        _ask(table, _key(text))
+        _request(table, _key(text))
         table.finish(claim.ClaimFinish(_key(text), _holder(), empty), 0)
-    verdicts = [_ask(table, _key(text), holder=_holder("r2")) for text in "xyz"]
+    verdicts = [_request(table, _key(text), holder=_holder("r2")) for text in "xyz"]
     assert verdicts == [_Verdict.ALREADY_RAN, _Verdict.DONE, _Verdict.DONE]
 
 
 def test_a_table_restored_from_a_snapshot_behaves_like_the_original(table, limits):
-    """Steps of expiry are bounded, so both must drop the same claims first."""
+    """Each call expires a bounded number, so both must remove the same claims first."""
     limits = _claim_table.ClaimLimits(retention_ms=10**6, claims=10_000, accounts=4)
     table = _claim_table.ClaimTable(limits)
     generator = random.Random(1)
     for number in range(1500):
         key = _key(_dated(number // 50, number), generator.choice("abc"))
-        _ask(table, key)
+        _request(table, key)
         if number % 7 == 0:
             table.abandon(claim.ClaimAbandon(key, _holder()), 0)
-            _ask(table, key, holder=_holder("again"))
+            _request(table, key, holder=_holder("again"))
         elif number % 3:
             answer = claim.StoredAnswer(200, "", b"x" * 100)
             table.finish(claim.ClaimFinish(key, _holder(), answer), 0)
@@ -168,7 +168,7 @@
     for now_ms in (0, 1_000_000, 2_000_000, 2_000_000):
         for one in (table, copy):
             one.expire(now_ms)
-            _ask(one, _key("new", "d"), now_ms)
+            _request(one, _key("new", "d"), now_ms)
         assert copy.state() == table.state()
     assert len(table) == 1
 
@@ -190,7 +190,7 @@
     decoded = msgspec.msgpack.decode(encoded, type=_claim_table.ClaimTableState)
     limits = _claim_table.ClaimLimits(answers=1)
     table = _claim_table.ClaimTable(limits, decoded)
-    verdicts = [_ask(table, item.key, holder=_holder("r2")) for item in entries]
+    verdicts = [_request(table, item.key, holder=_holder("r2")) for item in entries]
     assert verdicts == ["running", "holder_lost", "already_ran", "done", "already_ran"]
     assert table.holder_of(_key("running")) == _holder()
     table.expire(5000 + limits.retention_ms)
@@ -198,11 +198,11 @@
 
 
 def test_the_previous_version_rejects_a_packed_snapshot(table):
-    """It would start without claims otherwise, and grant them anew."""
+    """Otherwise it would start without claims, and grant them again."""
 
-    class Before(msgspec.Struct):
+    class Previous(msgspec.Struct):
         entries: tuple[_claim_table.ClaimEntry, ...] = ()
 
-    _ask(table, _key("k"))
+    _request(table, _key("k"))
     with pytest.raises(msgspec.ValidationError):
-        msgspec.msgpack.decode(msgspec.msgpack.encode(table.state()), type=Before)
+        msgspec.msgpack.decode(msgspec.msgpack.encode(table.state()), type=Previous)
--- a/tests/test_classify.py
+++ b/tests/test_classify.py
@@ -1,4 +1,4 @@
-"""Test which service and class a request gets, against a table and a naive scan."""
+"""The service and class of a request, compared with a table and with a naive scan."""
 
 import dataclasses
 import itertools
@@ -87,7 +87,7 @@
     assert assigned.deadline_at == 100.0 + declared.deadline_s
     assert assigned.labels["service"] == service
     assert assigned.labels["account"] == account
-    # Only what may run once needs a key; the request's id is unique.
+    # Only a non-repeatable request needs a key; the request id is unique.
     assert assigned.key == ("" if repeatable else "id-1")
 
 
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -1,4 +1,4 @@
-"""Test three control programs over real sockets and disks, in one curio kernel."""
+"""Tests of three control programs over real sockets and disks, in one curio kernel."""
 
 import dataclasses
 import errno
@@ -24,7 +24,7 @@
 
 
 def _free_ports(count):
-    """Return ports that the system picked; all are held until the last one is known."""
+    """Return free ports; all are reserved until the last one is known."""
     sockets = [socket.socket() for _ in range(count)]
     for opened in sockets:
         opened.bind(("127.0.0.1", 0))
@@ -57,7 +57,7 @@
 
 
 class _Site:
-    """Hold running programs and the clients that talk to them."""
+    """Running programs and their clients."""
 
     def __init__(self, settings_by_id, key="secret-key"):
         self.settings_by_id = settings_by_id
@@ -102,23 +102,23 @@
 
 
 def _change_id(number):
-    # The programs read the real clock, so the ids have to be of about now.
+    # The programs read the real clock, so the ids need the current time.
     return uuid7.make(time.time_ns() // 1_000_000, number.to_bytes(uuid7.RANDOM_BYTES, "big"))
 
 
 def test_a_change_survives_a_graceful_stop_and_a_restart(settings_by_id):
     async def _body(site):
         change_id = _change_id(1)
-        whole = configuration.Configuration(name="first")
-        accepted = await site.client.apply(change_id, 0, whole)
+        proposed = configuration.Configuration(name="first")
+        accepted = await site.client.apply(change_id, 0, proposed)
         assert accepted.revision == 1
         old = await site.leader()
         program = site.program_by_id.pop(old)
         await program.stop()
         await program.close()
         assert await site.leader() != old
-        # Resent to the new leader it gets its first answer.
-        assert await site.client.apply(change_id, 0, whole) == accepted
+        # Resent to the new leader, the change gets its first answer.
+        assert await site.client.apply(change_id, 0, proposed) == accepted
         with pytest.raises(errors.OperatorError, match=change_id) as caught:
             await site.client.apply(_change_id(2), 0, configuration.Configuration(name="b"))
         assert caught.value.code is errors.Code.CHANGE_CONFLICT
@@ -126,7 +126,7 @@
         (record,) = (await site.client.history()).changes
         assert (record.change_id, record.operator) == (change_id, "ana")
         reply = await site.client.configuration()
-        assert (reply.revision, reply.configuration) == (1, whole)
+        assert (reply.revision, reply.configuration) == (1, proposed)
 
     _run(settings_by_id, _body)
 
@@ -192,7 +192,7 @@
 
 
 async def _asked(entry, leader_id, kind, messages):
-    """Send one message after the other until a reply of the kind comes."""
+    """Send the messages one by one until a reply of the given kind arrives."""
     for message in messages:
         entry.send(leader_id, message)
         received = await curio.ignore_after(_PAUSE_S, entry.receive)
@@ -237,10 +237,10 @@
             write_and_sync(file, data)
 
         monkeypatch.setattr(journal, "_write_and_sync", _fail_for_the_leader)
-        whole = configuration.Configuration()
-        asked = await curio.spawn(site.client.apply, _change_id(1), 0, whole, daemon=True)
+        proposed = configuration.Configuration()
+        applying = await curio.spawn(site.client.apply, _change_id(1), 0, proposed, daemon=True)
         await curio.timeout_after(20, program.wait_failed)
-        await asked.cancel()
+        await applying.cancel()
         assert isinstance(program.failure, errors.JournalError)
 
     _run(settings_by_id, _body)
@@ -250,7 +250,7 @@
     async def _body(site):
         leader_id = await site.leader()
         follower_id = next(name for name in site.program_by_id if name != leader_id)
-        asked = [
+        requests = [
             (leader_id, "/v1/status", "GET", b"", "wrong", 401),
             (leader_id, "/v1/nothing", "GET", b"", "secret-key", 404),
             (leader_id, "/v1/configuration?revision=x", "GET", b"", "secret-key", 400),
@@ -263,7 +263,7 @@
             (leader_id, "/healthz", "GET", b"", "none", 200),
             (leader_id, "/readyz", "GET", b"", "none", 200),
         ]
-        for replica_id, target, method, body, key, status in asked:
+        for replica_id, target, method, body, key, status in requests:
             got = await _get(site, replica_id, target, method, body, key)
             assert (target, got.status) == (target, status)
         got = await _get(site, follower_id, "/v1/history")
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""The inventory follows notices and finds lost ones by digests."""
+"""The inventory applies notices and detects lost ones by digests."""
 
 import dataclasses
 
--- a/tests/test_log_clock.py
+++ b/tests/test_log_clock.py
@@ -1,4 +1,4 @@
-"""Test that a wrong wall clock of one replica does not move the log's time."""
+"""Tests that a wrong wall clock of one replica does not move the log's time."""
 
 import pytest
 
@@ -11,12 +11,12 @@
 
 
 class _Entry:
-    """Ask for claims under keys of the true time and note the verdicts."""
+    """Fake entry host that requests claims for keys with the correct time."""
 
-    def __init__(self, world):
-        self.world = world
+    def __init__(self, simulation):
+        self.simulation = simulation
         self.verdicts = []
-        world.entry_by_id["e9"] = self
+        simulation.entry_by_id["e9"] = self
 
     def receive(self, message):
         if isinstance(message, claim.ClaimReply):
@@ -24,36 +24,36 @@
 
     def verdict_on(self, key):
         holder = claim.Holder("e9", 1, f"r{len(self.verdicts)}")
-        asked = claim.ClaimRequest(claim.ClaimKey("a", key), holder, "b")
-        leader = self.world.process_by_id[self.world.leader()]
-        leader.post(node.MessageReceived("e9", asked))
-        self.world.run(0.5)
+        request = claim.ClaimRequest(claim.ClaimKey("a", key), holder, "b")
+        leader = self.simulation.process_by_id[self.simulation.leader()]
+        leader.post(node.MessageReceived("e9", request))
+        self.simulation.run(0.5)
         return self.verdicts[-1]
 
 
-class _Clockless(machine._Simulation):
-    """Run replicas that are told no wall clock."""
+class _ClocklessSimulation(machine._Simulation):
+    """Simulation of replicas that read no wall clock."""
 
     def read_clock(self, process):
         pass
 
 
 @pytest.fixture
-def world():
-    world = machine._Simulation(1)
-    world.faulty = False
-    world.run(5.0)
-    return world
+def simulation():
+    simulation = machine._Simulation(1)
+    simulation.faulty = False
+    simulation.run(5.0)
+    return simulation
 
 
-def _step(world, name, step_ms):
-    world.clock_step_by_id[name] = step_ms
-    world.run(1.5)
+def _step(simulation, name, step_ms):
+    simulation.clock_step_by_id[name] = step_ms
+    simulation.run(1.5)
 
 
-def _new_key(world):
-    true_ms = int(machine._EPOCH_MS + world.now * 1000)
-    return uuid7.make(true_ms, world.random.randbytes(uuid7.RANDOM_BYTES))
+def _new_key(simulation):
+    true_ms = int(machine._EPOCH_MS + simulation.now * 1000)
+    return uuid7.make(true_ms, simulation.random.randbytes(uuid7.RANDOM_BYTES))
 
 
 @pytest.mark.parametrize(
@@ -61,19 +61,19 @@
     [(_YEAR_MS, 0), (-_YEAR_MS, 0), (0, _YEAR_MS), (_YEAR_MS, -_YEAR_MS), (-_YEAR_MS, _YEAR_MS)],
 )
 def test_a_clock_that_jumps_neither_expires_claims_nor_refuses_new_keys(
-    world, leaders_ms, followers_ms
+    simulation, leaders_ms, followers_ms
 ):
-    entry = _Entry(world)
+    entry = _Entry(simulation)
     undated = entry.verdict_on("undated")
-    leader = world.leader()
+    leader = simulation.leader()
     follower = next(name for name in _REPLICAS if name != leader)
-    _step(world, leader, leaders_ms)
-    _step(world, follower, followers_ms)
-    verdicts = [entry.verdict_on("undated"), entry.verdict_on(_new_key(world))]
-    # What a new leader makes of the log's time has to be sound as well.
-    world.isolated.add(leader)
-    world.run(6.0)
-    verdicts.append(entry.verdict_on(_new_key(world)))
+    _step(simulation, leader, leaders_ms)
+    _step(simulation, follower, followers_ms)
+    verdicts = [entry.verdict_on("undated"), entry.verdict_on(_new_key(simulation))]
+    # A new leader has to agree on a correct log time, too.
+    simulation.isolated.add(leader)
+    simulation.run(6.0)
+    verdicts.append(entry.verdict_on(_new_key(simulation)))
     assert undated is claim.Verdict.GRANTED
     assert verdicts[0] in (claim.Verdict.RUNNING, claim.Verdict.HOLDER_LOST)
     assert verdicts[1:] == [claim.Verdict.GRANTED] * 2
@@ -107,22 +107,22 @@
 
 
 def test_a_leader_answers_only_once_it_knows_the_time_of_a_majority():
-    world = _Clockless(1)
-    world.faulty = False
-    world.run(5.0)
-    leader_id = world.process_by_id["c1"].node.status(world.now).leader_id
-    leader = world.process_by_id[leader_id]
+    simulation = _ClocklessSimulation(1)
+    simulation.faulty = False
+    simulation.run(5.0)
+    leader_id = simulation.process_by_id["c1"].node.status(simulation.now).leader_id
+    leader = simulation.process_by_id[leader_id]
     leader.post(control_types.WallClock(machine._EPOCH_MS))
-    world.run(0.5)
-    assert not world.leader()
+    simulation.run(0.5)
+    assert not simulation.leader()
     other = next(name for name in _REPLICAS if name != leader_id)
     leader.post(node.MessageReceived(other, _log_clock.ClockReading(machine._EPOCH_MS)))
-    world.run(0.5)
-    assert world.leader() == leader_id
+    simulation.run(0.5)
+    assert simulation.leader() == leader_id
 
 
-def test_a_clock_reading_from_a_non_replica_is_rejected(world):
-    leader = world.process_by_id[world.leader()].node
+def test_a_clock_reading_from_a_non_replica_is_rejected(simulation):
+    leader = simulation.process_by_id[simulation.leader()].node
     message = node.MessageReceived("e1", _log_clock.ClockReading(1))
     rejected = control_types.MessageRejected("e1", "ClockReading")
-    assert rejected in leader.handle(message, world.now)
+    assert rejected in leader.handle(message, simulation.now)
--- a/tests/test_order_client.py
+++ b/tests/test_order_client.py
@@ -1,4 +1,4 @@
-"""HTTP answers become events, and nothing is sent after its holding."""
+"""HTTP answers become events, and nothing is sent after the lease has ended."""
 
 import curio
 import msgspec
@@ -25,14 +25,14 @@
 
 
 class FakeClient:
-    """Answer with one response or raise one error; keep what was asked."""
+    """HTTP client that returns one response or raises one error, and records requests."""
 
     def __init__(self, outcome):
         self.outcome = outcome
-        self.asked = []
+        self.requests = []
 
     async def request(self, address, method, target, headers, body, *, timeout_s=None):
-        self.asked.append((address, method, target, body, timeout_s))
+        self.requests.append((address, method, target, body, timeout_s))
         if isinstance(self.outcome, Exception):
             raise self.outcome
         return self.outcome
@@ -72,12 +72,12 @@
 def test_answers_become_results(outcome, result):
     fake, done = send(outcome)
     assert done == order_types.OrderDone("3-1", result)
-    assert len(fake.asked) == 1
+    assert len(fake.requests) == 1
 
 
 def test_an_order_is_not_sent_after_its_deadline():
     fake, done = send(FakeResponse(200), now=10.0)
-    assert fake.asked == []
+    assert fake.requests == []
     assert done.result is order_types.OrderResult.FAILED
 
 
@@ -86,23 +86,23 @@
     lease = FakeLease(held=fence != 3)
     lease.fence = fence
     fake, done = send(FakeResponse(200), lease=lease)
-    assert fake.asked == []
+    assert fake.requests == []
     assert done.result is order_types.OrderResult.FAILED
 
 
 @pytest.mark.parametrize(
-    ("action", "told"),
+    ("action", "body_fields"),
     [
         (LOAD, {"action": "load_model", "name": "m", "version": "v1", "bytes_per_second": 5.0}),
         (order_types.ChangeRole("decode"), {"action": "change_role", "role": "decode"}),
     ],
 )
-def test_an_order_carries_its_id_fence_and_action(action, told):
+def test_an_order_carries_its_id_fence_and_action(action, body_fields):
     fake, _ = send(FakeResponse(200), action)
-    _, method, target, body, timeout_s = fake.asked[0]
+    _, method, target, body, timeout_s = fake.requests[0]
     sent = msgspec.json.decode(body)
     assert (method, target, timeout_s) == ("POST", "/v1/orders", 60.0)
-    assert {"order_id": "3-1", "fence": 3} | told == {
+    assert {"order_id": "3-1", "fence": 3} | body_fields == {
         key: value for key, value in sent.items() if key != "size_bytes"
     }
 
--- a/tests/test_owned_pool.py
+++ b/tests/test_owned_pool.py
@@ -1,4 +1,4 @@
-"""Test what the owner of a pool tells the holders of tickets that its scheduler has dropped."""
+"""Test how a pool's owner answers entry hosts about tickets that its scheduler has dropped."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FakeScheduler:
-    """Queue everything, and grant on demand."""
+    """Fake scheduler that records events and returns the actions set by the test."""
 
     def __init__(self):
         self.events = []
@@ -28,18 +28,18 @@
 
 @pytest.fixture
 def pool(scheduler):
-    made = owned_pool.OwnedPool("lm/0", scheduler)
-    made.handle(asked("r.1"), 0.0)
-    return made
+    owned = owned_pool.OwnedPool("lm/0", scheduler)
+    owned.handle(ticket_of("r.1"), 0.0)
+    return owned
 
 
-def asked(ticket_id, entry_id="e2"):
+def ticket_of(ticket_id, entry_id="e2"):
     return ticket.Ticket(ticket_id, entry_id, "lm/0", "shop", "chat", 1, 0.0, 9.0)
 
 
-def test_a_ticket_dropped_with_its_lost_holder_is_turned_away_when_it_comes_back(pool, scheduler):
+def test_a_ticket_dropped_with_its_lost_entry_host_is_rejected_when_resent(pool, scheduler):
     pool.handle(pool_events.EntryGone("e2"), 1.0)
-    (shed,) = pool.handle(asked("r.1"), 2.0)
+    (shed,) = pool.handle(ticket_of("r.1"), 2.0)
     assert (shed.ticket_id, shed.reason) == ("r.1", ticket.ShedReason.NOT_OWNER)
     assert not pool.is_queued("r.1")
 
@@ -54,20 +54,20 @@
 def test_a_late_copy_of_an_ended_ticket_is_not_queued(pool, scheduler, ended):
     pool.handle(ended, 1.0)
     before = len(scheduler.events)
-    assert pool.handle(asked("r.1"), 2.0) == ()
+    assert pool.handle(ticket_of("r.1"), 2.0) == ()
     assert (len(scheduler.events), pool.is_queued("r.1")) == (before, False)
 
 
-def test_a_granted_ticket_is_not_turned_away_with_the_queue(pool, scheduler):
-    pool.handle(asked("r.2"), 0.0)
+def test_close_rejects_queued_but_not_granted_tickets(pool, scheduler):
+    pool.handle(ticket_of("r.2"), 0.0)
     scheduler.actions = (ticket.Grant("r.1", "e2", "lm/0", "u1", "http://u1"), node.Wake(7.0))
     assert len(pool.handle(node.TimeDue(), 1.0)) == 1
     assert [shed.ticket_id for shed in pool.close()] == ["r.2"]
     assert pool.wake_at == 7.0
 
 
-def test_only_a_bounded_number_of_ended_tickets_is_remembered(pool, monkeypatch):
-    monkeypatch.setattr(owned_pool, "_REMEMBERED", 2)
+def test_the_number_of_ended_tickets_kept_is_bounded(pool, monkeypatch):
+    monkeypatch.setattr(owned_pool, "_MAX_ENDED", 2)
     for number in range(5):
         pool.handle(ticket.Withdraw(f"x.{number}", "lm/0"), 0.0)
-    assert len(pool._lost_by_ended) == 2
+    assert len(pool._is_lost_by_ended) == 2
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Test that rankings carried over from view to view equal those made from nothing."""
+"""Test that rankings derived from the previous view equal those computed from scratch."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 @given(st.lists(st.sets(st.sampled_from("abcdefgh"), min_size=1), min_size=1, max_size=6))
-def test_a_ranking_carried_over_equals_one_made_from_nothing(views):
-    carried = None
+def test_an_incremental_ranking_equals_one_computed_from_scratch(views):
+    incremental = None
     for names in views:
-        carried = ownership.Ownership("a", DECLARED, view_of(names), carried)
+        incremental = ownership.Ownership("a", DECLARED, view_of(names), incremental)
         fresh = ownership.Ownership("a", DECLARED, view_of(names))
         for pool in POOLS:
-            assert carried.owners(pool) == fresh.owners(pool)
+            assert incremental.owners(pool) == fresh.owners(pool)
 
 
-def test_the_loss_of_a_host_moves_only_what_it_served():
+def test_the_loss_of_a_host_changes_only_the_rankings_that_included_it():
     names = {f"e{number}" for number in range(20)}
     before = ownership.Ownership("e0", DECLARED, view_of(names))
     lost = before.owners("lm/0")[0]
--- a/tests/test_pool_differential.py
+++ b/tests/test_pool_differential.py
@@ -1,4 +1,4 @@
-"""Feed the same events to the pool and to the naive one: same grants and sheds, in order."""
+"""Test that the pool makes the same grants and sheds, in order, as the reference pool."""
 
 import dataclasses
 import random
@@ -44,26 +44,26 @@
 
 
 def _events(seed, length=1500):
-    """Yield (time, event) with duplicates, stale ids and upstreams that come and go."""
+    """Yield (time, event) with duplicate messages, stale ids and upstreams that join and leave."""
     generator = random.Random(seed)
     now = 0.0
-    asked = []
+    sent = []
     yield now, pool_events.PolicyChanged((), _ACCOUNTS, _SERVICE)
     for step in range(length):
         now += generator.expovariate(12.0)
         upstream_id = generator.choice(["u1", "u2", "u3", "u4"])
-        known = generator.choice(asked[-40:]) if asked else _ticket(generator, 0)
+        sent_ticket = generator.choice(sent[-40:]) if sent else _ticket(generator, 0)
         match generator.choices(range(8), [40, 30, 4, 4, 8, 3, 2, 2])[0]:
             case 0:
-                asked.append(_ticket(generator, step))
-                yield now, asked[-1]
+                sent.append(_ticket(generator, step))
+                yield now, sent[-1]
             case 1:
                 cause = generator.choice(list(ticket.ReleaseCause))
-                yield now, ticket.Release(known.ticket_id, _POOL, cause, 0.1, 0.5, 20)
+                yield now, ticket.Release(sent_ticket.ticket_id, _POOL, cause, 0.1, 0.5, 20)
             case 2:
-                yield now, ticket.Withdraw(known.ticket_id, _POOL)
+                yield now, ticket.Withdraw(sent_ticket.ticket_id, _POOL)
             case 3:
-                yield now, known
+                yield now, sent_ticket
             case 4:
                 yield now, pool_events.UpstreamUp(_announcement(generator, upstream_id, step))
             case 5:
@@ -78,28 +78,28 @@
 
 
 def _decisions(actions):
-    """Keep grants and sheds; how long to wait before a retry is the pool's own estimate."""
-    kept = [action for action in actions if isinstance(action, ticket.Grant | ticket.Shed)]
+    """Return grants and sheds without retry times, which the two pools estimate differently."""
+    decisions = [action for action in actions if isinstance(action, ticket.Grant | ticket.Shed)]
     return [
         (
             dataclasses.replace(action, retry_after_s=0.0)
             if isinstance(action, ticket.Shed)
             else action
         )
-        for action in kept
+        for action in decisions
     ]
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_pool_decides_like_the_naive_one(seed):
-    real = pool.Pool(name=_POOL, entry_id="e", random=random.Random(seed), options=_OPTIONS)
-    naive = reference_pool.ReferencePool(name=_POOL, options=_OPTIONS)
+def test_pool_decides_like_the_reference_pool(seed):
+    tested = pool.Pool(name=_POOL, entry_id="e", random=random.Random(seed), options=_OPTIONS)
+    reference = reference_pool.ReferencePool(name=_POOL, options=_OPTIONS)
     granted = shed = 0
     for step, (now, event) in enumerate(_events(seed)):
-        got = _decisions(real.handle(event, now))
-        expected = _decisions(naive.handle(event, now))
-        assert got == expected, f"step {step} at {now}: {event}"
-        granted += sum(isinstance(action, ticket.Grant) for action in got)
-        shed += sum(isinstance(action, ticket.Shed) for action in got)
+        actual = _decisions(tested.handle(event, now))
+        expected = _decisions(reference.handle(event, now))
+        assert actual == expected, f"step {step} at {now}: {event}"
+        granted += sum(isinstance(action, ticket.Grant) for action in actual)
+        shed += sum(isinstance(action, ticket.Shed) for action in actual)
     assert granted > 200
     assert shed > 50
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Test that answers are counted, joined only where proved, and never mixed."""
+"""Answers are counted, resumed only with proof, and never mixed between attempts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 STREAM = {"content-type": "text/event-stream; charset=utf-8"}
 
 
-def part(text: str, number: int | str | None) -> bytes:
+def event(text: str, number: int | str | None) -> bytes:
     chunk = {"id": "x", "choices": [{"index": 0, "delta": {"content": text}}]}
     return sse.encode(json.dumps(chunk), "" if number is None else str(number))
 
@@ -27,25 +27,25 @@
 @pytest.fixture
 def streaming() -> relay.Relay:
     made = relay.Relay(stream=True)
-    made.begin("a.1", resume_offset=0, status=200, headers=STREAM)
+    made.start_attempt("a.1", resume_offset=0, status=200, headers=STREAM)
     return made
 
 
 def test_only_complete_events_are_relayed_and_tokens_are_counted(streaming):
-    assert streaming.feed("a.1", part("x", 1) + part("y", 2)[:-1]) == part("x", 1)
+    assert streaming.feed("a.1", event("x", 1) + event("y", 2)[:-1]) == event("x", 1)
     assert (streaming.tokens, streaming.resumable, streaming.complete) == (1, True, False)
-    assert streaming.feed("a.1", b"\n" + sse.encode(sse.DONE)) == part("y", 2) + sse.encode(
+    assert streaming.feed("a.1", b"\n" + sse.encode(sse.DONE)) == event("y", 2) + sse.encode(
         sse.DONE
     )
     assert (streaming.tokens, streaming.complete) == (2, True)
 
 
 def test_bytes_of_another_attempt_are_discarded(streaming):
-    streaming.feed("a.1", part("x", 1))
-    streaming.begin("a.2", resume_offset=1, status=200, headers=resumed(1))
-    assert streaming.feed("a.1", part("y", 2)) == b""
-    assert (streaming.tokens, streaming.discarded_bytes) == (1, len(part("y", 2)))
-    assert streaming.feed("a.2", part("z", 2)) == part("z", 2)
+    streaming.feed("a.1", event("x", 1))
+    streaming.start_attempt("a.2", resume_offset=1, status=200, headers=resumed(1))
+    assert streaming.feed("a.1", event("y", 2)) == b""
+    assert (streaming.tokens, streaming.discarded_bytes) == (1, len(event("y", 2)))
+    assert streaming.feed("a.2", event("z", 2)) == event("z", 2)
 
 
 @pytest.mark.parametrize(
@@ -53,32 +53,32 @@
     [(1, STREAM), (1, resumed(0)), (2, resumed(2)), (0, STREAM), (1, {"content-type": "a/b"})],
 )
 def test_a_resumption_without_proof_is_refused(streaming, offset, headers):
-    streaming.feed("a.1", part("x", 1))
+    streaming.feed("a.1", event("x", 1))
     with pytest.raises(errors.UpstreamError):
-        streaming.begin("a.2", resume_offset=offset, status=200, headers=headers)
-    assert streaming.feed("a.2", part("y", 2)) == b""
+        streaming.start_attempt("a.2", resume_offset=offset, status=200, headers=headers)
+    assert streaming.feed("a.2", event("y", 2)) == b""
 
 
 def test_a_resumed_stream_that_repeats_a_token_fails(streaming):
-    streaming.feed("a.1", part("x", 1))
-    streaming.begin("a.2", resume_offset=1, status=200, headers=resumed(1))
+    streaming.feed("a.1", event("x", 1))
+    streaming.start_attempt("a.2", resume_offset=1, status=200, headers=resumed(1))
     with pytest.raises(errors.UpstreamError):
-        streaming.feed("a.2", part("x", 1))
+        streaming.feed("a.2", event("x", 1))
 
 
 @pytest.mark.parametrize("number", [None, "9" * 5000, "abc", "x7", 0, 1])
 def test_event_ids_that_do_not_count_tokens_make_a_stream_not_resumable(streaming, number):
-    streaming.feed("a.1", part("x", 1))
-    streaming.feed("a.1", part("y", number))
+    streaming.feed("a.1", event("x", 1))
+    streaming.feed("a.1", event("y", number))
     assert (streaming.tokens, streaming.resumable) == (2, False)
 
 
 def test_a_stream_without_its_end_marker_is_not_complete(streaming):
-    streaming.feed("a.1", part("x", 1) + sse.encode(sse.DONE)[:-1])
+    streaming.feed("a.1", event("x", 1) + sse.encode(sse.DONE)[:-1])
     assert not streaming.complete
     streaming.feed("a.1", b"\n")
     with pytest.raises(errors.UpstreamError):
-        streaming.feed("a.1", part("y", 2))
+        streaming.feed("a.1", event("y", 2))
 
 
 @pytest.mark.parametrize("data", ["[]", "{", '{"choices": 1}', '{"choices": [{"delta": []}]}'])
@@ -88,31 +88,31 @@
 
 
 def test_events_discarded_with_a_malformed_one_are_not_counted(streaming):
-    streaming.feed("a.1", part("x", 1))
+    streaming.feed("a.1", event("x", 1))
     with pytest.raises(errors.UpstreamError):
-        streaming.feed("a.1", part("y", 2) + sse.encode("{"))
+        streaming.feed("a.1", event("y", 2) + sse.encode("{"))
     assert (streaming.tokens, streaming.resumable) == (1, True)
 
 
 def test_an_opaque_answer_passes_byte_for_byte():
     made = relay.Relay(stream=False)
-    made.begin("a.1", resume_offset=0, status=200, headers={"content-type": "text/plain"})
+    made.start_attempt("a.1", resume_offset=0, status=200, headers={"content-type": "text/plain"})
     assert made.feed("a.1", b"\x00ab") == b"\x00ab"
     assert (made.resumable, made.complete) == (False, True)
-    made.begin("a.2", resume_offset=0, status=200, headers={})
+    made.start_attempt("a.2", resume_offset=0, status=200, headers={})
     assert made.feed("a.2", b"again") == b"again"
     with pytest.raises(errors.UpstreamError):
-        made.begin("a.3", resume_offset=0, status=200, headers={}, relayed=True)
+        made.start_attempt("a.3", resume_offset=0, status=200, headers={}, relayed=True)
     assert not made.complete
 
 
 def test_a_restart_from_the_beginning_discards_the_assembled_chunks():
     made = relay.Relay(stream=False, assemble=True)
-    made.begin("a.1", resume_offset=0, status=200, headers=STREAM)
-    assert made.feed("a.1", part("old", None)) == b""
-    made.begin("a.2", resume_offset=0, status=200, headers=STREAM)
-    made.feed("a.2", part("new", 1) + sse.encode(sse.DONE))
-    assert json.loads(made.whole())["choices"][0]["message"]["content"] == "new"
+    made.start_attempt("a.1", resume_offset=0, status=200, headers=STREAM)
+    assert made.feed("a.1", event("old", None)) == b""
+    made.start_attempt("a.2", resume_offset=0, status=200, headers=STREAM)
+    made.feed("a.2", event("new", 1) + sse.encode(sse.DONE))
+    assert json.loads(made.assembled_body())["choices"][0]["message"]["content"] == "new"
     assert not made.relayed
 
 
@@ -122,14 +122,14 @@
     kept = 0
     for attempt in range(1, 4):
         headers = resumed(kept) if kept else STREAM
-        made.begin(f"a.{attempt}", resume_offset=kept, status=200, headers=headers)
-        stream = b"".join(part(text, kept + at + 1) for at, text in enumerate(texts[kept:]))
+        made.start_attempt(f"a.{attempt}", resume_offset=kept, status=200, headers=headers)
+        stream = b"".join(event(text, kept + at + 1) for at, text in enumerate(texts[kept:]))
         stream += sse.encode(sse.DONE)
         last = attempt == 3
         cut = len(stream) if last else data.draw(st.integers(0, len(stream)))
         made.feed(f"a.{attempt}", stream[:cut])
         kept = made.tokens
-    content = json.loads(made.whole())["choices"][0]["message"]["content"]
+    content = json.loads(made.assembled_body())["choices"][0]["message"]["content"]
     assert (made.complete, content or "") == (True, "".join(texts))
 
 
--- a/tests/test_replicated_state.py
+++ b/tests/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""Test the replicated state, also against a version that keeps everything in one dictionary."""
+"""Tests of the replicated state, also against a naive model with a single dictionary."""
 
 import collections
 import dataclasses
@@ -35,8 +35,8 @@
 
 
 def _change(change_id, base, operator="ana", name="x", at_ms=0):
-    whole = configuration.Configuration(name=name)
-    return replicated_state.ConfigurationChange(change_id, base, operator, whole, at_ms)
+    proposed = configuration.Configuration(name=name)
+    return replicated_state.ConfigurationChange(change_id, base, operator, proposed, at_ms)
 
 
 def _holder(entry="e1", request="r1"):
@@ -48,8 +48,8 @@
 
 
 def _ask(key=None, holder=None, body="b"):
-    asked = claim.ClaimRequest(key or _key(), holder or _holder(), body)
-    return replicated_state.ClaimOperation(request=asked)
+    request = claim.ClaimRequest(key or _key(), holder or _holder(), body)
+    return replicated_state.ClaimOperation(request=request)
 
 
 def _finish(answer, key=None, holder=None):
@@ -125,7 +125,7 @@
     for revision in range(1, 7 if later_ms == 0 else 2):
         apply(_change(_id(6 + later_ms, revision), revision, at_ms=later_ms))
     before = state.current
-    # From the current revision it would be accepted if it was taken for a new one.
+    # With the current base revision it would be accepted if it were taken for a new one.
     resent = _change(_id(5, 1), before.revision, at_ms=later_ms)
     assert apply(resent).code is errors.Code.CHANGE_TOO_OLD
     assert state.current == before
@@ -143,7 +143,7 @@
     assert [state.configuration_at(r) is not None for r in range(1, 7)] == [False] * 3 + [True] * 3
     assert state.configuration_at(5).configuration.name == "n5"
     assert [record.revision for record in state.history(10)] == [6, 5, 4, 3]
-    # The winner from revision 0 is no longer known: the last change stands in for it.
+    # The winner from revision 0 is no longer known: the last change is returned instead.
     assert apply(_change(_id(10), 0)).winner.revision == 6
 
 
@@ -235,7 +235,7 @@
 
 
 class _Log:
-    """Keep what it is told."""
+    """Sub-state that records its commands."""
 
     name = "log"
 
@@ -279,7 +279,7 @@
 
 
 class _NaiveClaims:
-    """Decide claims with one dictionary that is never cleaned, scanning it where needed."""
+    """Naive model of claims: one dictionary that is never cleaned and scanned where needed."""
 
     def __init__(self):
         self.rows = {}
@@ -291,14 +291,14 @@
         row = self.rows.get(key)
         return row if row and row["until"] > self.now else None
 
-    def request(self, asked):
-        row = self.live(asked.key)
+    def request(self, request):
+        row = self.live(request.key)
         if row is None:
-            return self.new(asked), None
-        if row["body"] != asked.body_sha256:
+            return self.new(request), None
+        if row["body"] != request.body_sha256:
             return claim.Verdict.KEY_REUSED, None
         if not row["end"]:
-            same = row["holder"] == asked.holder
+            same = row["holder"] == request.holder
             return claim.Verdict.GRANTED if same else claim.Verdict.RUNNING, None
         if row["answer"] is None:
             return claim.Verdict.HOLDER_LOST, None
@@ -306,21 +306,21 @@
             return claim.Verdict.ALREADY_RAN, None
         return claim.Verdict.DONE, row["answer"]
 
-    def new(self, asked):
-        if (asked.key, asked.holder) in self.given_up:
+    def new(self, request):
+        if (request.key, request.holder) in self.given_up:
             return claim.Verdict.HOLDER_LOST
-        key_ms = uuid7.time_ms(asked.key.key)
+        key_ms = uuid7.time_ms(request.key.key)
         if key_ms is not None and not self.now - 1000 < key_ms <= self.now + 100:
             return claim.Verdict.KEY_EXPIRED
-        if self.is_full(asked.key.account):
+        if self.is_full(request.key.account):
             return claim.Verdict.FULL
         until = self.now + 1500 if key_ms is None else max(self.now, key_ms) + 1000
-        row = {"holder": asked.holder, "body": asked.body_sha256, "until": until}
-        self.rows[asked.key] = row | {"end": 0, "answer": None, "lost": False}
+        row = {"holder": request.holder, "body": request.body_sha256, "until": until}
+        self.rows[request.key] = row | {"end": 0, "answer": None, "lost": False}
         return claim.Verdict.GRANTED
 
     def is_full(self, account):
-        """Of 8 claims 2 are kept free for each of two accounts; nobody takes half of the rest."""
+        """Return whether the quota is used up; 2 claims are reserved for each of two accounts."""
         counts = collections.Counter(key.account for key in self.rows if self.live(key))
         shared_left = 4 - sum(max(0, count - 2) for count in counts.values())
         mine = counts[account]
@@ -396,7 +396,7 @@
 @hypothesis.given(strategies.lists(_CHANGES, max_size=40))
 @hypothesis.settings(max_examples=200)
 def test_changes_agree_with_the_naive_version(steps):
-    """The naive version remembers every answer for ever; only forgotten ids may differ."""
+    """The naive model remembers every answer; only answers to evicted ids may differ."""
     state = replicated_state.ReplicatedState(change_limits=_CHANGE_LIMITS)
     answer_by_id = {}
     accepted = []
--- a/tests/test_request_key.py
+++ b/tests/test_request_key.py
@@ -1,10 +1,10 @@
-"""What a caller's repeats share, and what tells requests apart."""
+"""Which requests share a key, and which are told apart."""
 
 import pytest
 
 from medlarfork.quarantine import request_key
 
-GIVEN = {
+REQUEST = {
     "account": "shop",
     "method": "POST",
     "host": "a.example",
@@ -14,8 +14,8 @@
 
 
 def test_a_retry_has_the_key_of_the_first_request():
-    first = request_key.request_key(**GIVEN)
-    assert first == request_key.request_key(**(GIVEN | {"host": "A.example:80"}))
+    first = request_key.request_key(**REQUEST)
+    assert first == request_key.request_key(**(REQUEST | {"host": "A.example:80"}))
 
 
 @pytest.mark.parametrize(
@@ -30,10 +30,10 @@
     ],
 )
 def test_whatever_an_upstream_would_see_differently_is_another_request(change):
-    assert request_key.request_key(**GIVEN) != request_key.request_key(**(GIVEN | change))
+    assert request_key.request_key(**REQUEST) != request_key.request_key(**(REQUEST | change))
 
 
 def test_the_keys_of_an_account_share_its_prefix():
-    key = request_key.request_key(**GIVEN)
+    key = request_key.request_key(**REQUEST)
     assert key.startswith(request_key.account_prefix("shop"))
     assert not key.startswith(request_key.account_prefix("other"))
--- a/tests/test_upstream_health.py
+++ b/tests/test_upstream_health.py
@@ -1,4 +1,4 @@
-"""Check how upstreams are judged: failures, slowness, probing and concurrency."""
+"""Test ejection of failing and slow upstreams, probing and concurrency limits."""
 
 import dataclasses
 
@@ -12,10 +12,10 @@
 
 @pytest.fixture
 def health():
-    judged = _upstream_health.UpstreamHealth(pool_options.PoolOptions())
+    health = _upstream_health.UpstreamHealth(pool_options.PoolOptions())
     for number in range(6):
-        judged.add(f"u{number}")
-    return judged
+        health.add(f"u{number}")
+    return health
 
 
 def _release(cause=ticket.ReleaseCause.FINISHED, whole_s=1.0, tokens=50):
@@ -24,7 +24,8 @@
 
 def _observe(health, upstream_id, count, now=0.0, **release):
     return [
-        health.observe(upstream_id, "chat", _release(**release), _SLOTS, now) for _ in range(count)
+        health.observe_release(upstream_id, "chat", _release(**release), _SLOTS, now)
+        for _ in range(count)
     ]
 
 
@@ -37,59 +38,59 @@
 def test_consecutive_failures_eject(health):
     failures = _observe(health, "u0", 5, cause=ticket.ReleaseCause.FAILED)
     assert failures == [False, False, False, False, True]
-    assert health.ejected("u0")
+    assert health.is_ejected("u0")
 
 
-def test_a_good_answer_starts_the_count_of_failures_again(health):
+def test_a_good_answer_resets_the_count_of_failures(health):
     _observe(health, "u0", 4, cause=ticket.ReleaseCause.FAILED)
     _observe(health, "u0", 1)
     _observe(health, "u0", 4, cause=ticket.ReleaseCause.FAILED)
-    assert not health.ejected("u0")
+    assert not health.is_ejected("u0")
 
 
 def test_a_refusal_is_no_failure_but_lowers_the_limit(health):
     _observe(health, "u0", 10, cause=ticket.ReleaseCause.REFUSED)
-    assert not health.ejected("u0")
-    assert health.limit("u0", _SLOTS) == 1
+    assert not health.is_ejected("u0")
+    assert health.concurrency_limit("u0", _SLOTS) == 1
 
 
-def test_a_straggler_is_ejected_by_comparison_with_its_peers(health):
+def test_an_upstream_slower_than_its_peers_is_ejected(health):
     _warm_up(health)
     assert any(_observe(health, "u0", 8, whole_s=5.0))
-    assert health.ejected("u0")
+    assert health.is_ejected("u0")
 
 
-def test_all_slow_together_ejects_none(health):
+def test_no_upstream_is_ejected_if_all_are_equally_slow(health):
     _warm_up(health)
     for _ in range(20):
         for number in range(6):
             _observe(health, f"u{number}", 1, whole_s=5.0)
         health.update_median(f"u{number}" for number in range(6))
-    assert not any(health.ejected(f"u{number}") for number in range(6))
+    assert not any(health.is_ejected(f"u{number}") for number in range(6))
 
 
-def test_classes_of_different_length_compare_by_time_per_token(health):
+def test_long_answers_are_compared_by_time_per_token(health):
     _warm_up(health)
     for _ in range(20):
-        health.observe("u0", "chat", _release(whole_s=20.0, tokens=1000), _SLOTS, 0.0)
-    assert not health.ejected("u0")
+        health.observe_release("u0", "chat", _release(whole_s=20.0, tokens=1000), _SLOTS, 0.0)
+    assert not health.is_ejected("u0")
 
 
-def test_never_more_than_the_share_is_ejected(health):
+def test_at_most_the_maximum_share_is_ejected(health):
     for number in range(6):
         _observe(health, f"u{number}", 5, cause=ticket.ReleaseCause.FAILED)
-    assert sum(health.ejected(f"u{number}") for number in range(6)) == 2
+    assert sum(health.is_ejected(f"u{number}") for number in range(6)) == 2
 
 
-def test_probing_admits_one_request_until_it_has_answered_well(health):
+def test_probing_allows_one_request_at_a_time_until_enough_succeeded(health):
     _observe(health, "u0", 5, cause=ticket.ReleaseCause.FAILED)
     assert health.end_ejections(4.9) == ()
     assert health.end_ejections(5.0) == ("u0",)
-    assert health.probing("u0")
-    assert health.limit("u0", _SLOTS) == 1
+    assert health.is_probing("u0")
+    assert health.concurrency_limit("u0", _SLOTS) == 1
     _observe(health, "u0", 3, now=6.0)
-    assert not health.probing("u0")
-    assert health.limit("u0", _SLOTS) == _SLOTS
+    assert not health.is_probing("u0")
+    assert health.concurrency_limit("u0", _SLOTS) == _SLOTS
 
 
 def test_a_failed_probe_ejects_for_longer(health):
@@ -100,20 +101,20 @@
     assert health.end_ejections(15.0) == ("u0",)
 
 
-def test_concurrency_shrinks_when_slowed_and_grows_back(health):
+def test_the_concurrency_limit_shrinks_when_slow_and_grows_back(health):
     _warm_up(health)
     _observe(health, "u0", 20, whole_s=2.0)
-    shrunk = health.limit("u0", _SLOTS)
+    shrunk = health.concurrency_limit("u0", _SLOTS)
     assert 1 <= shrunk < _SLOTS
     _observe(health, "u0", 200)
-    assert health.limit("u0", _SLOTS) == _SLOTS
+    assert health.concurrency_limit("u0", _SLOTS) == _SLOTS
 
 
-def test_rules_can_be_switched_off():
+def test_rules_can_be_disabled():
     options = dataclasses.replace(pool_options.PoolOptions(), eject=False, adapt_concurrency=False)
-    judged = _upstream_health.UpstreamHealth(options)
-    judged.add("u0")
-    _observe(judged, "u0", 20, cause=ticket.ReleaseCause.FAILED)
-    _observe(judged, "u0", 20, cause=ticket.ReleaseCause.REFUSED)
-    assert not judged.ejected("u0")
-    assert judged.limit("u0", _SLOTS) == _SLOTS
+    health = _upstream_health.UpstreamHealth(options)
+    health.add("u0")
+    _observe(health, "u0", 20, cause=ticket.ReleaseCause.FAILED)
+    _observe(health, "u0", 20, cause=ticket.ReleaseCause.REFUSED)
+    assert not health.is_ejected("u0")
+    assert health.concurrency_limit("u0", _SLOTS) == _SLOTS
--- a/tests/test_view_delta.py
+++ b/tests/test_view_delta.py
@@ -1,4 +1,4 @@
-"""Views reach entry hosts in order and whole, over lost and reordered replies, and cost little."""
+"""Entry hosts get views in order and complete, despite lost and reordered replies, at low cost."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Log:
-    """Stand for a log that this replica leads."""
+    """Fake log that this replica leads."""
 
     def __init__(self):
         self.state = replicated_state.ReplicatedState()
@@ -37,14 +37,14 @@
         return "p"
 
 
-class World:
-    """Drive one leader after the other, and one entry host's session."""
+class Simulation:
+    """Successive leaders, and one entry host's session."""
 
     def __init__(self):
         self.log = Log()
         self.now = 0.0
         self.number = 0
-        self.lag = []
+        self.in_flight = []
         self.versions = [(0, 0)]
         self.member_by_id = {}
         self.session = control_session.ControlSession(
@@ -57,7 +57,7 @@
     def elect(self):
         self.service = _heartbeat_service.HeartbeatService(self.log)
         self.log.term += 1
-        self.service.begin(self.log.term, self.now)
+        self.service.start_term(self.log.term, self.now)
 
     @property
     def view(self):
@@ -78,8 +78,11 @@
 
     def take(self, beat):
         self.service.expire(self.now)
-        actions = (*self.service.take(beat, self.now), *self.service.keep(self.now))
-        self.service.applied("p")
+        actions = (
+            *self.service.handle_heartbeat(beat, self.now),
+            *self.service.publish_changes(self.now),
+        )
+        self.service.on_applied("p")
         return [
             action.message
             for action in actions
@@ -89,24 +92,24 @@
         ]
 
     def ask(self):
-        """Let the session's heartbeat reach the leader; its reply stays under way."""
+        """Deliver the session's heartbeat to the leader; its reply stays in flight."""
         (sent,) = self.session.beat(self.now)
-        self.lag += self.take(sent.message)
+        self.in_flight += self.take(sent.message)
 
     def deliver(self, position):
-        if self.lag:
-            reply = self.lag.pop(position % len(self.lag))
+        if self.in_flight:
+            reply = self.in_flight.pop(position % len(self.in_flight))
             self.session.handle(node.MessageReceived("c1", reply), self.now)
             self.versions.append(self.session.view.version)
 
     def settle(self):
-        """Let everybody renew until nothing is left to publish."""
+        """Let all members send heartbeats until nothing is left to publish."""
         for _ in range(20):
             self.now += 1.0
             for entry_id in tuple(self.member_by_id):
                 self.beat(entry_id)
             self.ask()
-            self.deliver(len(self.lag) - 1)
+            self.deliver(len(self.in_flight) - 1)
 
     def do(self, step):
         match step:
@@ -126,7 +129,7 @@
             case ("deliver", position):
                 self.deliver(position)
             case ("lose",):
-                self.lag = self.lag[1:]
+                self.in_flight = self.in_flight[1:]
             case ("elect",):
                 self.elect()
 
@@ -144,126 +147,128 @@
 
 @given(st.lists(STEPS, max_size=60))
 def test_a_view_never_goes_back_and_converges_to_that_of_control(steps):
-    world = World()
+    simulation = Simulation()
     for step in steps:
-        world.do(step)
-    world.settle()
-    assert world.versions == sorted(world.versions)
-    assert world.session.view == world.view
+        simulation.do(step)
+    simulation.settle()
+    assert simulation.versions == sorted(simulation.versions)
+    assert simulation.session.view == simulation.view
 
 
 @pytest.fixture
-def world():
-    made = World()
+def simulation():
+    new_simulation = Simulation()
     for entry_id in OTHERS:
-        made.beat(entry_id)
-    made.settle()
-    return made
+        new_simulation.beat(entry_id)
+    new_simulation.settle()
+    return new_simulation
 
 
-def news(world):
-    world.ask()
-    return world.lag.pop()
+def next_reply(simulation):
+    simulation.ask()
+    return simulation.in_flight.pop()
 
 
-def test_a_join_and_a_leave_cost_one_member(world):
-    base = world.session.view.version
-    world.beat("e9")
-    world.leave("e2")
-    world.now += 1.0
-    reply = news(world)
-    joined = world.member_by_id["e9"]
+def test_a_join_and_a_leave_cost_one_member(simulation):
+    base = simulation.session.view.version
+    simulation.beat("e9")
+    simulation.leave("e2")
+    simulation.now += 1.0
+    reply = next_reply(simulation)
+    joined = simulation.member_by_id["e9"]
     assert reply.view is None
     assert reply.view_delta == heartbeat.ViewDelta(
-        base, world.view.version, (joined,), ("e2",), {}, len(OTHERS) + 1
+        base, simulation.view.version, (joined,), ("e2",), {}, len(OTHERS) + 1
     )
 
 
-def test_loads_cost_neither_a_notice_nor_full_members(world):
-    number = world.number + 1
-    sender = dataclasses.replace(world.member_by_id["e2"], load=0.9)
-    world.service.expire(world.now)
-    actions = world.service.take(heartbeat.Heartbeat(sender, number, 0, (0, 0)), world.now)
+def test_loads_cost_neither_a_notice_nor_full_members(simulation):
+    number = simulation.number + 1
+    sender = dataclasses.replace(simulation.member_by_id["e2"], load=0.9)
+    simulation.service.expire(simulation.now)
+    actions = simulation.service.handle_heartbeat(
+        heartbeat.Heartbeat(sender, number, 0, (0, 0)), simulation.now
+    )
     assert [type(action.message) for action in actions] == [heartbeat.HeartbeatReply]
-    delta = news(world).view_delta
+    delta = next_reply(simulation).view_delta
     assert (delta.changed, delta.removed, delta.load_by_id) == ((), (), {"e2": 0.9})
 
 
-def test_a_membership_change_includes_no_loads_that_are_not_due(world):
-    world.beat("e2", load=0.9)
-    world.beat("e3", load=0.9)
-    world.ask()
-    world.deliver(0)
-    world.beat("e9")
-    world.now += 1.0
-    delta = news(world).view_delta
+def test_a_membership_change_includes_no_loads_that_are_not_due(simulation):
+    simulation.beat("e2", load=0.9)
+    simulation.beat("e3", load=0.9)
+    simulation.ask()
+    simulation.deliver(0)
+    simulation.beat("e9")
+    simulation.now += 1.0
+    delta = next_reply(simulation).view_delta
     assert ([item.entry_id for item in delta.changed], delta.load_by_id) == (["e9"], {})
-    assert [world.view.member_by_id[entry_id].load for entry_id in ("e2", "e3")] == [0.9, 0.0]
+    assert [simulation.view.member_by_id[entry_id].load for entry_id in ("e2", "e3")] == [0.9, 0.0]
 
 
-def test_a_cached_delta_is_replaced_after_each_new_view(world):
-    base = world.session.view.version
+def test_a_cached_delta_is_replaced_after_each_new_view(simulation):
+    base = simulation.session.view.version
     for entry_id in ("e8", "e9"):
-        world.beat(entry_id)
-        world.now += 1.0
-        world.service.keep(world.now)
-        assert world.service.views.since(base).version == world.view.version
+        simulation.beat(entry_id)
+        simulation.now += 1.0
+        simulation.service.publish_changes(simulation.now)
+        assert simulation.service.views.since(base).version == simulation.view.version
 
 
 def test_the_loads_of_one_view_are_bounded_and_the_largest_changes_go_first(monkeypatch):
-    monkeypatch.setattr(_member_leases, "_LOADS_PER_VIEW", 2)
-    world = World()
+    monkeypatch.setattr(_member_leases, "_MAX_LOADS_PER_VIEW", 2)
+    simulation = Simulation()
     for entry_id in OTHERS:
-        world.beat(entry_id)
-    world.settle()
-    base = world.view.version
+        simulation.beat(entry_id)
+    simulation.settle()
+    base = simulation.view.version
     for position, entry_id in enumerate(OTHERS):
-        world.beat(entry_id, load=0.2 + position / 10)
+        simulation.beat(entry_id, load=0.2 + position / 10)
     for entry_ids in (["e2"], ["e2", "e6", "e7"]):
-        assert list(world.service.views.since(base).load_by_id) == entry_ids
+        assert list(simulation.service.views.since(base).load_by_id) == entry_ids
         for _ in range(5):
-            world.now += 1.0
+            simulation.now += 1.0
             for entry_id in OTHERS:
-                world.beat(entry_id)
-    world.settle()
-    seen = [item.load for item in world.session.view.members if item.entry_id in OTHERS]
+                simulation.beat(entry_id)
+    simulation.settle()
+    seen = [item.load for item in simulation.session.view.members if item.entry_id in OTHERS]
     assert seen == [0.2 + position / 10 for position in range(len(OTHERS))]
 
 
-def test_a_mass_join_delays_the_next_view(world):
+def test_a_mass_join_delays_the_next_view(simulation):
     for number in range(10, 110):
-        world.beat(f"e{number}")
-    world.now += 1.0
-    world.beat("e200")
-    version = world.view.version
-    world.beat("e201")
-    world.now += 1.0
-    world.service.keep(world.now)
-    assert world.view.version == version
-    world.now += 100 * _member_leases._HOLD_OFF_PER_CHANGE_S
-    world.service.keep(world.now)
-    assert world.view.version > version
+        simulation.beat(f"e{number}")
+    simulation.now += 1.0
+    simulation.beat("e200")
+    version = simulation.view.version
+    simulation.beat("e201")
+    simulation.now += 1.0
+    simulation.service.publish_changes(simulation.now)
+    assert simulation.view.version == version
+    simulation.now += 100 * _member_leases._VIEW_INTERVAL_PER_CHANGE_S
+    simulation.service.publish_changes(simulation.now)
+    assert simulation.view.version > version
 
 
 @pytest.mark.parametrize("hosts", [390])
 def test_one_join_and_changing_loads_cost_a_bounded_number_of_bytes(hosts):
-    world = World()
+    simulation = Simulation()
     for number in range(hosts):
-        world.beat(f"entry-{number:03d}")
-    world.settle()
+        simulation.beat(f"entry-{number:03d}")
+    simulation.settle()
     sizes = []
-    world.beat("entry-new")
-    sizes.append(sum(map(len, CODEC.encode(news(world)))))
-    world.settle()
+    simulation.beat("entry-new")
+    sizes.append(sum(map(len, CODEC.encode(next_reply(simulation)))))
+    simulation.settle()
     for number in range(hosts):
-        world.beat(f"entry-{number:03d}", load=0.9)
-    sizes.append(sum(map(len, CODEC.encode(news(world)))))
+        simulation.beat(f"entry-{number:03d}", load=0.9)
+    sizes.append(sum(map(len, CODEC.encode(next_reply(simulation)))))
     assert max(sizes) < 1_500
 
 
 def delta_of(base, version, **changes):
-    made = heartbeat.ViewDelta(base, version, (entry_world.member_of("e9"),), (), {}, 2)
-    return dataclasses.replace(made, **changes)
+    delta = heartbeat.ViewDelta(base, version, (entry_world.member_of("e9"),), (), {}, 2)
+    return dataclasses.replace(delta, **changes)
 
 
 @pytest.mark.parametrize(
@@ -280,26 +285,26 @@
 def test_a_delta_applies_only_to_its_base_and_an_inconsistent_one_triggers_a_full_view(
     delta, asks_for
 ):
-    world = World()
-    world.log.term = 1
-    (sent,) = world.session.beat(0.0)
+    simulation = Simulation()
+    simulation.log.term = 1
+    (sent,) = simulation.session.beat(0.0)
     view = member.View((1, 1), (entry_world.member_of("e1"),))
-    for news_of in ({"view": view}, {"view_delta": delta}):
-        reply = heartbeat.HeartbeatReply(sent.message.number, 1, 0, **news_of)
-        world.session.handle(node.MessageReceived("c1", reply), 0.1)
-    (again,) = world.session.beat(1.0)
+    for fields in ({"view": view}, {"view_delta": delta}):
+        reply = heartbeat.HeartbeatReply(sent.message.number, 1, 0, **fields)
+        simulation.session.handle(node.MessageReceived("c1", reply), 0.1)
+    (again,) = simulation.session.beat(1.0)
     assert again.message.view_version == asks_for
-    assert world.session.view.version == max((1, 1), asks_for)
+    assert simulation.session.view.version == max((1, 1), asks_for)
 
 
-def test_only_a_bounded_number_of_past_versions_is_kept(world, monkeypatch):
-    monkeypatch.setattr("medlarfork.control._view_history.KEPT", 3)
+def test_only_a_bounded_number_of_past_versions_is_kept(simulation, monkeypatch):
+    monkeypatch.setattr("medlarfork.control._view_history.MAX_CHANGES", 3)
     bases = []
-    world.elect()
+    simulation.elect()
     for number in range(8):
-        bases.append(world.view.version)
-        world.beat(f"e{20 + number}")
-        world.now += 0.3
-        world.service.keep(world.now)
-    deltas = [world.service.views.since(base) for base in bases]
+        bases.append(simulation.view.version)
+        simulation.beat(f"e{20 + number}")
+        simulation.now += 0.3
+        simulation.service.publish_changes(simulation.now)
+    deltas = [simulation.service.views.since(base) for base in bases]
     assert [delta is not None for delta in deltas] == [False] * 5 + [True] * 3
--- a/tests/test_weight_load_scheduler.py
+++ b/tests/test_weight_load_scheduler.py
@@ -1,4 +1,4 @@
-"""Loads are granted as a naive plan grants them and never draw more than the rate."""
+"""Grants match those of a naive scheduler and never exceed the rate limit."""
 
 import hypothesis
 import pytest
@@ -10,8 +10,8 @@
 LANE_RATE = 10.0
 
 
-class NaivePlan:
-    """Hold every load in one list and scan all of it for each decision."""
+class NaiveScheduler:
+    """Reference scheduler that scans the list of all loads for each decision."""
 
     def __init__(self):
         self.loads = []
@@ -44,7 +44,7 @@
         return started
 
     def bytes_in_second(self, second):
-        """Return the most bytes that the granted loads draw in one second."""
+        """Return the maximum number of bytes that the granted loads transfer in one second."""
         total = 0.0
         for load in self.loads:
             if load["granted"] is not None:
@@ -67,7 +67,7 @@
 @hypothesis.given(OPERATIONS)
 @hypothesis.settings(max_examples=150)
 def test_grants_match_a_naive_scheduler_and_never_exceed_the_rate(operations):
-    store, naive = weight_load_scheduler.WeightLoadScheduler(SETTINGS), NaivePlan()
+    store, naive = weight_load_scheduler.WeightLoadScheduler(SETTINGS), NaiveScheduler()
     now, running = 0.0, []
     for number, (kind, value, size) in enumerate(operations):
         if kind == "request":
