--- a/measure/entry_links.py
+++ b/measure/entry_links.py
@@ -136,7 +136,7 @@
         if starts_at > now:
             running = sum(until > now for until in slots)
             queued = int((starts_at - now) * SLOTS)
-            choice.learn(ticket.PoolSummary(pool, 29, SLOTS, running, queued, SLOTS), now)
+            choice.record_summary(ticket.PoolSummary(pool, 29, SLOTS, running, queued, SLOTS), now)
         if now >= _WARM_UP_S:
             waits.append(starts_at - now)
     waits.sort()
--- a/measure/link_latency.py
+++ b/measure/link_latency.py
@@ -135,7 +135,7 @@
             b_public = keys.LinkKeys.load(folder, "b").public
             own = keys.LinkKeys.load(folder, "a")
             known = own.public_by_name | dict.fromkeys(names, b_public)
-            a.use_keys(dataclasses.replace(own, public_by_name=known))
+            a.update_keys(dataclasses.replace(own, public_by_name=known))
         before = psutil.Process().memory_info().rss
         for name in names:
             await connect(a, name, b)
--- a/measure/owner_cost.py
+++ b/measure/owner_cost.py
@@ -23,7 +23,7 @@
 _RUN_S = 1.0
 _FIRST_EVENT_S = 0.05
 _MATTERS = 352
-_FACTS = routing.EngineFacts(
+_FACTS = routing.EngineSpec(
     _SLOTS, 400_000, event_tokens=7, token_bytes=163_840, link_mbps=260_000.0
 )
 
--- a/src/medlarfork/_log_output.py
+++ b/src/medlarfork/_log_output.py
@@ -10,7 +10,7 @@
 import select
 from typing import TextIO
 
-PIECE_BYTES = select.PIPE_BUF
+WRITE_BYTES = select.PIPE_BUF
 """Bytes written at once: what a pipe that is ready takes without blocking, by POSIX."""
 
 _DROPPED_FIELD = "dropped_lines"
@@ -20,13 +20,13 @@
 class LineHandler(logging.Handler):
     """Write each record as a line; a reader that stands still costs lines, not time."""
 
-    def __init__(self, stream: TextIO, *, lines_s: int) -> None:
-        """Write to ``stream`` at most ``lines_s`` lines in each second."""
+    def __init__(self, stream: TextIO, *, lines_per_s: int) -> None:
+        """Write to ``stream`` at most ``lines_per_s`` lines in each second."""
         super().__init__()
         self._stream = stream
         self._poll = _poll_for(stream)
-        self._limit = LineLimit(lines_s)
-        self._is_cut = False
+        self._limit = LineLimit(lines_per_s)
+        self._is_truncated = False
         self.addFilter(self._limit)
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -38,7 +38,7 @@
             self.handleError(record)
             return
         if not is_written:
-            self._limit.dropped += 1 + _told(record)
+            self._limit.dropped += 1 + _count_reported(record)
 
     def _write(self, line: str) -> bool:
         """Return whether the whole line was taken."""
@@ -47,15 +47,15 @@
             self._stream.flush()
             return True
         data = line.encode("utf-8", "backslashreplace")
-        if self._is_cut:
+        if self._is_truncated:
             data = b"\n" + data
-        for start in range(0, len(data), PIECE_BYTES):
+        for start in range(0, len(data), WRITE_BYTES):
             if not self._poll.poll(0):
-                self._is_cut = self._is_cut or start > 0
+                self._is_truncated = self._is_truncated or start > 0
                 return False
-            self._stream.buffer.write(data[start : start + PIECE_BYTES])
+            self._stream.buffer.write(data[start : start + WRITE_BYTES])
             self._stream.buffer.flush()
-        self._is_cut = False
+        self._is_truncated = False
         return True
 
 
@@ -68,10 +68,10 @@
         dropped: Lines that were dropped and that no written line has told of.
     """
 
-    def __init__(self, lines_s: int) -> None:
-        """Allow ``lines_s`` lines in each second."""
+    def __init__(self, lines_per_s: int) -> None:
+        """Allow ``lines_per_s`` lines in each second."""
         super().__init__()
-        self._lines_s = lines_s
+        self._lines_per_s = lines_per_s
         self._second = 0
         self._passed = 0
         self.dropped = 0
@@ -83,7 +83,7 @@
             self._second = second
             self._passed = 0
         self._passed += 1
-        if self._passed <= self._lines_s or record.levelno >= logging.WARNING:
+        if self._passed <= self._lines_per_s or record.levelno >= logging.WARNING:
             if self.dropped and isinstance(record.msg, dict):
                 record.msg = {**record.msg, _DROPPED_FIELD: self.dropped}
                 self.dropped = 0
@@ -92,7 +92,7 @@
         return False
 
 
-def _told(record: logging.LogRecord) -> int:
+def _count_reported(record: logging.LogRecord) -> int:
     """Return how many dropped lines a record tells of."""
     return record.msg.get(_DROPPED_FIELD, 0) if isinstance(record.msg, dict) else 0
 
--- a/src/medlarfork/_quick_start.py
+++ b/src/medlarfork/_quick_start.py
@@ -19,7 +19,7 @@
 import types
 from typing import Any
 
-PUT_OFF: dict[str, dict[str, Any]] = {
+DEFERRED_MODULES: dict[str, dict[str, Any]] = {
     "asyncio": {},
     "multiprocessing": {"cpu_count": os.cpu_count},
     "multiprocessing.connection": {
@@ -32,7 +32,7 @@
 """Modules of the standard library that libraries import for uses which this product does not make
 of them, with what those look up at once: an event loop and other processes."""
 
-LEFT_OUT = ("ssl", "_hashlib")
+BLOCKED_MODULES = ("ssl", "_hashlib")
 """Modules without which libraries do as well: no link of this product uses TLS, and the interpreter
 has its own hash functions. Loading OpenSSL takes a twentieth of a start."""
 
@@ -88,11 +88,11 @@
         del dataclasses.exec  # type: ignore[attr-defined]
         self._code_by_text = {}
 
-    def _run(self, text: str, names: dict[str, Any], found: dict[str, Any]) -> None:
+    def _run(self, text: str, global_names: dict[str, Any], namespace: dict[str, Any]) -> None:
         code = self._code_by_text.get(text)
         if code is None:
             code = self._code_by_text[text] = compile(text, "<dataclass>", "exec")
-        exec(code, names, found)
+        exec(code, global_names, namespace)
 
 
 compiled_methods = CompiledMethods()
@@ -106,9 +106,9 @@
         compiled_path: Where ``CompiledMethods.save`` wrote, if anywhere.
     """
     gc.disable()
-    for name, given in PUT_OFF.items():
-        _defer(name, given)
-    for name in LEFT_OUT:
+    for name, attributes in DEFERRED_MODULES.items():
+        _defer(name, attributes)
+    for name in BLOCKED_MODULES:
         if name not in sys.modules:
             sys.modules[name] = None  # type: ignore[assignment]
     compiled_methods.load(compiled_path)
@@ -118,19 +118,19 @@
 def end() -> None:
     """Collect garbage again, among what comes from now on: what was imported stays."""
     compiled_methods.end()
-    for name in LEFT_OUT:
+    for name in BLOCKED_MODULES:
         if sys.modules.get(name, sys) is None:
             del sys.modules[name]
     gc.freeze()
     gc.enable()
 
 
-def _defer(name: str, given: dict[str, Any]) -> None:
+def _defer(name: str, attributes: dict[str, Any]) -> None:
     """Have a module imported only when something of it is used that is not given."""
     if name in sys.modules:
         return
     module = _DeferredModule(name)
-    module.__dict__.update(given)
+    module.__dict__.update(attributes)
     sys.modules[name] = module
     parent, _, last = name.rpartition(".")
     if parent:
--- a/src/medlarfork/control/control_program.py
+++ b/src/medlarfork/control/control_program.py
@@ -64,7 +64,7 @@
             identity=settings.replica_id,
             codec=wire.make_codec(),
             bind=own.link_address,
-            keys=keys.load_if_named(settings.keys_folder, settings.replica_id),
+            keys=keys.load_if_configured(settings.keys_folder, settings.replica_id),
         )
         api = operations_api.OperationsApi(
             self._execute,
--- a/src/medlarfork/coordination/coordinator_program.py
+++ b/src/medlarfork/coordination/coordinator_program.py
@@ -90,12 +90,16 @@
             bind=f"tcp://{settings.replica_id}:{settings.link_port}",
             options=routed_links.LINK_OPTIONS,
         )
-        self._server = http_server.at_address(self._serve, settings.serve)
+        self._server = http_server.create_server(self._serve, settings.serve)
         self._directory = (
-            http_server.at_address(self._serve, settings.directory) if settings.directory else None
+            http_server.create_server(self._serve, settings.directory)
+            if settings.directory
+            else None
         )
         self._health = (
-            http_server.at_address(self._serve_health, settings.health) if settings.health else None
+            http_server.create_server(self._serve_health, settings.health)
+            if settings.health
+            else None
         )
         self._platform = (
             None
--- a/src/medlarfork/declared/_finding.py
+++ b/src/medlarfork/declared/_finding.py
@@ -41,14 +41,14 @@
         key: Where it is, such as ``class.counter.selector``.
         problem: What is wrong, without a full stop.
         remedy: What to do about it, as a full sentence.
-        place: The same as ``key`` by position: table, index within it, and field.
+        location: The same as ``key`` by position: table, index within it, and field.
     """
 
     kind: FindingKind
     key: str
     problem: str
     remedy: str
-    place: tuple[str | int, ...] = ()
+    location: tuple[str | int, ...] = ()
 
     def render(self) -> str:
         """Return the finding as one line of text."""
@@ -89,8 +89,8 @@
         name = f"{self.table}.{self.name}" if self.name else f"{self.table}[{self.index}]"
         if isinstance(self.value, configurations.Call):
             name = f"{self.table}[{self.index}]"
-        place = (self.table, self.index, *field.split("."))
-        return Finding(kind, f"{name}.{field}", problem, remedy, place)
+        location = (self.table, self.index, *field.split("."))
+        return Finding(kind, f"{name}.{field}", problem, remedy, location)
 
 
 def items(configuration: configurations.Configuration) -> tuple[Item, ...]:
--- a/src/medlarfork/declared/_label_domains.py
+++ b/src/medlarfork/declared/_label_domains.py
@@ -44,7 +44,7 @@
 DomainByKey = Mapping[str, Domain]
 """What one account or target fixes; a key that is not there is always absent."""
 
-_NEVER = Domain(frozenset(), optional=True)
+_ALWAYS_ABSENT = Domain(frozenset(), optional=True)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -74,13 +74,13 @@
         merged: dict[str, Domain] = {}
         for domains in (*self.accounts, *(target.domains for target in self.targets)):
             for key, domain in domains.items():
-                merged[key] = merged.get(key, _NEVER).merged(domain)
+                merged[key] = merged.get(key, _ALWAYS_ABSENT).merged(domain)
         return merged
 
     def has_account(self, requirements: Iterable[labels.Requirement]) -> bool:
         """Return whether some account's requests can meet the requirements."""
-        mine = [item for item in requirements if item.key in self.account_keys]
-        return any(satisfiable(mine, domains) for domains in self.accounts)
+        relevant = [item for item in requirements if item.key in self.account_keys]
+        return any(satisfiable(relevant, domains) for domains in self.accounts)
 
     def has_target(
         self,
@@ -88,9 +88,9 @@
         kind: configurations.ServiceKind | None = None,
     ) -> bool:
         """Return whether requests to some target, of a kind if given, can meet them."""
-        mine = [item for item in requirements if item.key not in self.account_keys]
+        relevant = [item for item in requirements if item.key not in self.account_keys]
         return any(
-            satisfiable(mine, target.domains)
+            satisfiable(relevant, target.domains)
             for target in self.targets
             if kind is None or target.kind is kind
         )
@@ -102,7 +102,8 @@
     for requirement in requirements:
         by_key.setdefault(requirement.key, []).append(requirement)
     return all(
-        _key_satisfiable(key, mine, domains.get(key, _NEVER)) for key, mine in by_key.items()
+        _key_satisfiable(key, relevant, domains.get(key, _ALWAYS_ABSENT))
+        for key, relevant in by_key.items()
     )
 
 
@@ -112,7 +113,7 @@
     Upstreams are expected to announce ``service``, which nobody can declare since requests have
     a derived label of that name.
     """
-    return {**_declared(configuration), "service": Domain(None, optional=True)}
+    return {**_declared_domains(configuration), "service": Domain(None, optional=True)}
 
 
 def request_space(configuration: configurations.Configuration, *, routed: bool) -> LabelSpace:
@@ -145,7 +146,7 @@
     return any(selector.matches({key: value}) for value in candidates)
 
 
-def _declared(configuration: configurations.Configuration) -> dict[str, Domain]:
+def _declared_domains(configuration: configurations.Configuration) -> dict[str, Domain]:
     return {
         item.key: Domain(frozenset(item.values) or None, optional=True)
         for item in configuration.label_keys
@@ -157,7 +158,7 @@
     account: configurations.Account,
     account_keys: set[str],
 ) -> dict[str, Domain]:
-    declared = _declared(configuration)
+    declared = _declared_domains(configuration)
     domains = {key: declared[key] for key in account_keys if key in declared}
     for key in account_keys.intersection(account.labels):
         domains[key] = Domain(frozenset({account.labels[key]}))
@@ -165,7 +166,7 @@
         for key in account_keys.intersection(call.labels):
             optional = key not in account.labels
             from_call = Domain(frozenset({call.labels[key]}), optional)
-            domains[key] = domains.get(key, _NEVER).merged(from_call)
+            domains[key] = domains.get(key, _ALWAYS_ABSENT).merged(from_call)
     domains["account"] = Domain(frozenset({account.name}))
     return domains
 
@@ -173,14 +174,16 @@
 def _targets(
     configuration: configurations.Configuration, account_keys: frozenset[str], routed: bool
 ) -> Iterator[Target]:
-    callers = {
-        key: domain for key, domain in _declared(configuration).items() if key not in account_keys
+    caller_domains = {
+        key: domain
+        for key, domain in _declared_domains(configuration).items()
+        if key not in account_keys
     }
     for service in configuration.services:
-        routed_to = _routed_to(configuration, service.kind) if routed else frozenset()
+        destinations = _route_destinations(configuration, service.kind) if routed else frozenset()
         common = {
-            **callers,
-            "service": Domain(routed_to | {service.name}),
+            **caller_domains,
+            "service": Domain(destinations | {service.name}),
             "stream": Domain(frozenset({"true", "false"})),
             "method": Domain(HTTP_METHODS),
         }
@@ -214,7 +217,7 @@
     return domains
 
 
-def _routed_to(
+def _route_destinations(
     configuration: configurations.Configuration, kind: configurations.ServiceKind
 ) -> frozenset[str]:
     service_by_name = configuration.service_by_name
--- a/src/medlarfork/declared/_selector_check.py
+++ b/src/medlarfork/declared/_selector_check.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Parsed:
+class _ParsedItem:
     """Hold an object with its selector, and the kind of service its requests go to, if fixed."""
 
     item: _finding.Item
@@ -38,18 +38,18 @@
 ) -> Iterator[_finding.Finding]:
     """Yield what is wrong with selectors; those that don't parse are passed over."""
     routed = _label_domains.request_space(configuration, routed=True)
-    asked = _label_domains.request_space(configuration, routed=False)
+    unrouted = _label_domains.request_space(configuration, routed=False)
     classes = _parsed(configuration, items, configurations.RequestClass)
     routes = _parsed(configuration, items, configurations.Route)
     services = _parsed(configuration, items, configurations.Service)
     yield from _request_selectors(classes, routed, "class")
-    yield from _request_selectors(routes, asked, "route")
+    yield from _request_selectors(routes, unrouted, "route")
     yield from _upstream_selectors(services, configuration)
 
 
 def _parsed(
     configuration: configurations.Configuration, items: tuple[_finding.Item, ...], kind: type
-) -> tuple[_Parsed, ...]:
+) -> tuple[_ParsedItem, ...]:
     found = []
     for item in items:
         if not isinstance(item.value, kind):
@@ -58,7 +58,7 @@
             selector = labels.Selector.parse(item.value.selector)
         except errors.SelectorSyntaxError:
             continue
-        found.append(_Parsed(item, selector, _route_kind(configuration, item)))
+        found.append(_ParsedItem(item, selector, _route_kind(configuration, item)))
     return tuple(found)
 
 
@@ -72,42 +72,44 @@
 
 
 def _request_selectors(
-    parsed: tuple[_Parsed, ...], space: _label_domains.LabelSpace, noun: str
+    parsed: tuple[_ParsedItem, ...], space: _label_domains.LabelSpace, noun: str
 ) -> Iterator[_finding.Finding]:
     domain_by_key = space.domain_by_key()
     usable = []
-    for one in parsed:
-        wrong = tuple(_names(one, domain_by_key, "request")) or tuple(_reach(one, space, noun))
+    for parsed_item in parsed:
+        wrong = tuple(_unknown_labels(parsed_item, domain_by_key, "request")) or tuple(
+            _unreachable(parsed_item, space, noun)
+        )
         yield from wrong
         if not wrong:
-            usable.append(one)
+            usable.append(parsed_item)
     for first, second in itertools.combinations(usable, 2):
-        if _claim_the_same(first, second, space):
+        if _conflict(first, second, space):
             yield _same_precedence(first, second, noun)
 
 
 def _upstream_selectors(
-    parsed: tuple[_Parsed, ...], configuration: configurations.Configuration
+    parsed: tuple[_ParsedItem, ...], configuration: configurations.Configuration
 ) -> Iterator[_finding.Finding]:
     domain_by_key = _label_domains.upstream_domains(configuration)
-    for one in parsed:
-        unknown = tuple(_names(one, domain_by_key, "upstream"))
+    for parsed_item in parsed:
+        unknown = tuple(_unknown_labels(parsed_item, domain_by_key, "upstream"))
         yield from unknown
-        requirements = one.selector.requirements
+        requirements = parsed_item.selector.requirements
         if not unknown and not _label_domains.satisfiable(requirements, domain_by_key):
-            yield _contradiction(one, "upstream")
+            yield _contradiction(parsed_item, "upstream")
 
 
-def _names(
-    one: _Parsed, domain_by_key: Mapping[str, _label_domains.Domain], carrier: str
+def _unknown_labels(
+    parsed_item: _ParsedItem, domain_by_key: Mapping[str, _label_domains.Domain], carrier: str
 ) -> Iterator[_finding.Finding]:
     """Yield a finding for each label key and value that can't occur."""
-    for requirement in one.selector.requirements:
+    for requirement in parsed_item.selector.requirements:
         key = requirement.key
         domain = domain_by_key.get(key)
         if domain is None:
             known = ", ".join(sorted(domain_by_key))
-            yield one.item.finding(
+            yield parsed_item.item.finding(
                 _finding.FindingKind.UNKNOWN_LABEL,
                 "selector",
                 f"no {carrier} can carry the label {key}",
@@ -117,27 +119,29 @@
         if domain.values is None:
             continue
         for value in sorted(getattr(requirement, "values", frozenset()) - domain.values):
-            yield one.item.finding(
+            yield parsed_item.item.finding(
                 _finding.FindingKind.UNKNOWN_VALUE,
                 "selector",
                 f"the label {key} never has the value {value}",
-                f"Use one of {_some(domain.values)}, or declare {value} first.",
+                f"Use one of {_abbreviated(domain.values)}, or declare {value} first.",
             )
 
 
-def _reach(one: _Parsed, space: _label_domains.LabelSpace, noun: str) -> Iterator[_finding.Finding]:
-    requirements = one.selector.requirements
+def _unreachable(
+    parsed_item: _ParsedItem, space: _label_domains.LabelSpace, noun: str
+) -> Iterator[_finding.Finding]:
+    requirements = parsed_item.selector.requirements
     if not _label_domains.satisfiable(requirements, space.domain_by_key()):
-        yield _contradiction(one, "request")
+        yield _contradiction(parsed_item, "request")
     elif not space.has_account(requirements):
-        yield one.item.finding(
+        yield parsed_item.item.finding(
             _finding.FindingKind.UNREACHABLE,
             "selector",
             f"no account's requests can reach this {noun}",
             "Give an account the labels that the selector asks for, or change the selector.",
         )
-    elif not space.has_target(requirements, one.kind):
-        yield one.item.finding(
+    elif not space.has_target(requirements, parsed_item.kind):
+        yield parsed_item.item.finding(
             _finding.FindingKind.UNREACHABLE,
             "selector",
             f"no model, service or call leads to this {noun}",
@@ -145,8 +149,8 @@
         )
 
 
-def _contradiction(one: _Parsed, carrier: str) -> _finding.Finding:
-    return one.item.finding(
+def _contradiction(parsed_item: _ParsedItem, carrier: str) -> _finding.Finding:
+    return parsed_item.item.finding(
         _finding.FindingKind.MATCHES_NOTHING,
         "selector",
         f"its terms contradict each other, so it matches no {carrier}",
@@ -154,7 +158,7 @@
     )
 
 
-def _claim_the_same(first: _Parsed, second: _Parsed, space: _label_domains.LabelSpace) -> bool:
+def _conflict(first: _ParsedItem, second: _ParsedItem, space: _label_domains.LabelSpace) -> bool:
     if first.item.value.precedence != second.item.value.precedence:
         return False
     if first.kind is not second.kind or not first.selector.overlaps(second.selector):
@@ -163,7 +167,7 @@
     return space.has_account(both) and space.has_target(both, first.kind)
 
 
-def _same_precedence(first: _Parsed, second: _Parsed, noun: str) -> _finding.Finding:
+def _same_precedence(first: _ParsedItem, second: _ParsedItem, noun: str) -> _finding.Finding:
     return second.item.finding(
         _finding.FindingKind.SAME_PRECEDENCE,
         "selector",
@@ -173,7 +177,7 @@
     )
 
 
-def _some(values: frozenset[str]) -> str:
+def _abbreviated(values: frozenset[str]) -> str:
     """Return the values as text, cut short where there are many."""
     shown = sorted(values)[:12]
     more = len(values) - len(shown)
--- a/src/medlarfork/declared/configuration_check.py
+++ b/src/medlarfork/declared/configuration_check.py
@@ -12,7 +12,7 @@
 Finding = _finding.Finding
 FindingKind = _finding.FindingKind
 
-WHOLE_KINDS = frozenset(
+CROSS_REFERENCE_KINDS = frozenset(
     {
         FindingKind.MATCHES_NOTHING,
         FindingKind.MISSING_SERVICE,
@@ -38,7 +38,7 @@
     syntax = tuple(_selector_check.syntax_findings(items))
     found += syntax
     found += _selector_check.findings(configuration, items)
-    if not any(finding.place[0] in ("route", "service") for finding in syntax):
+    if not any(finding.location[0] in ("route", "service") for finding in syntax):
         found += _models(configuration, items)
     return tuple(found)
 
--- a/src/medlarfork/declared/configuration_delta.py
+++ b/src/medlarfork/declared/configuration_delta.py
@@ -26,9 +26,9 @@
     object_type: type
     name_of: Callable[[Any], str]
 
-    def by_key(self, whole: configuration.Configuration) -> dict[str, Any]:
+    def by_key(self, source: configuration.Configuration) -> dict[str, Any]:
         """Return the field's objects, keyed as ``KIND/NAME``."""
-        return {self.key_of(item): item for item in getattr(whole, self.field)}
+        return {self.key_of(item): item for item in getattr(source, self.field)}
 
     def key_of(self, item: Any) -> str:
         """Return the object's key."""
--- a/src/medlarfork/declared/configuration_file.py
+++ b/src/medlarfork/declared/configuration_file.py
@@ -34,7 +34,7 @@
 )
 """Fields that no other object refers to, so a mistake in one hides nothing elsewhere."""
 
-_COMPARING_KINDS = frozenset(
+_CROSS_OBJECT_KINDS = frozenset(
     {
         configuration_check.FindingKind.FLOOR_SHARES,
         configuration_check.FindingKind.SAME_PRECEDENCE,
@@ -42,7 +42,7 @@
 )
 """Kinds that compare the objects of one table with each other."""
 
-_RELATING_KINDS = frozenset(
+_CROSS_FIELD_KINDS = frozenset(
     {
         configuration_check.FindingKind.PREEMPTIBLE,
         configuration_check.FindingKind.TARGET,
@@ -50,7 +50,7 @@
 )
 """Kinds that compare the fields of one object with each other."""
 
-_RELATED_FIELDS = frozenset(
+_CROSS_CHECKED_FIELDS = frozenset(
     {"deadline_s", "first_token_target_s", "preemptible", "repeatable", "whole_target_s"}
 )
 """The fields that such kinds compare."""
@@ -121,7 +121,7 @@
     configuration = _configuration(file)
     mistakes = [document.mistake(fault) for fault in conversion.faults]
     for finding in configuration_check.check(configuration):
-        if _stands(finding, conversion):
+        if _is_independent(finding, conversion):
             mistakes.append(_mistake(document, finding, conversion))
     if mistakes:
         raise settings.mistakes_error(path, mistakes, errors.ConfigurationError)
@@ -139,7 +139,7 @@
 
 
 def _configuration(file: _File) -> configurations.Configuration:
-    deployment = {name: getattr(file.deployment, name) for name in _declared_names()}
+    deployment = {name: getattr(file.deployment, name) for name in _deployment_keys()}
     return configurations.Configuration(
         **deployment,
         accounts=file.accounts,
@@ -152,34 +152,36 @@
 
 
 def _deployment(configuration: configurations.Configuration, revision: int | None) -> _Deployment:
-    declared = {name: getattr(configuration, name) for name in _declared_names()}
+    declared = {name: getattr(configuration, name) for name in _deployment_keys()}
     return _Deployment(revision, **declared)
 
 
-def _declared_names() -> list[str]:
+def _deployment_keys() -> list[str]:
     """Return the keys of ``[deployment]`` that are part of the configuration itself."""
     return [item.name for item in dataclasses.fields(_Deployment) if item.name != "revision"]
 
 
-def _stands(finding: configuration_check.Finding, conversion: settings.Conversion[_File]) -> bool:
+def _is_independent(
+    finding: configuration_check.Finding, conversion: settings.Conversion[_File]
+) -> bool:
     """Return whether a finding can't be a mere consequence of a fault already listed."""
     faulty = {fault.path[:2] for fault in conversion.faults}
     complete = not conversion.dropped and all(
         fault.path[2:3] and fault.path[2] in _INDEPENDENT_FIELDS for fault in conversion.faults
     )
-    if finding.kind in configuration_check.WHOLE_KINDS:
+    if finding.kind in configuration_check.CROSS_REFERENCE_KINDS:
         return complete
-    if finding.kind in _COMPARING_KINDS:
-        return not any(path[0] == finding.place[0] for path in faulty)
-    place = _file_place(conversion, finding)
-    if place in {fault.path[: len(place)] for fault in conversion.faults}:
+    if finding.kind in _CROSS_OBJECT_KINDS:
+        return not any(path[0] == finding.location[0] for path in faulty)
+    location = _location_in_file(conversion, finding)
+    if location in {fault.path[: len(location)] for fault in conversion.faults}:
         return False
     faulty_fields = {
         fault.path[2]
         for fault in conversion.faults
-        if fault.path[:2] == place[:2] and fault.path[2:]
+        if fault.path[:2] == location[:2] and fault.path[2:]
     }
-    return finding.kind not in _RELATING_KINDS or not faulty_fields & _RELATED_FIELDS
+    return finding.kind not in _CROSS_FIELD_KINDS or not faulty_fields & _CROSS_CHECKED_FIELDS
 
 
 def _mistake(
@@ -187,18 +189,18 @@
     finding: configuration_check.Finding,
     conversion: settings.Conversion[_File],
 ) -> settings.Mistake:
-    line = document.lines.line(_file_place(conversion, finding))
+    line = document.lines.line(_location_in_file(conversion, finding))
     return settings.Mistake(line, finding.key, finding.problem, finding.remedy)
 
 
-def _file_place(
+def _location_in_file(
     conversion: settings.Conversion[_File], finding: configuration_check.Finding
 ) -> tuple[str | int, ...]:
     """Return a finding's place by its position in the file, where elements were left out."""
-    place = finding.place
-    if len(place) < 2 or not isinstance(place[1], int):
-        return place
-    table, index, *rest = place
+    location = finding.location
+    if len(location) < 2 or not isinstance(location[1], int):
+        return location
+    table, index, *rest = location
     for dropped in sorted(path for path in conversion.dropped if path[:1] == (table,)):
         if len(dropped) == 2 and dropped[1] <= index:
             index += 1
--- a/src/medlarfork/entry/_claim_settlements.py
+++ b/src/medlarfork/entry/_claim_settlements.py
@@ -8,10 +8,10 @@
 from medlarfork import claim
 from medlarfork.entry import _outbox
 
-_LIMIT = 10_000
+_MAX_SETTLEMENTS = 10_000
 """Most settlements that are not recorded, and most abandoned claims remembered."""
 
-_PATIENCE_S = 2 * 3600.0
+_TIMEOUT_S = 2 * 3600.0
 """How long a settlement is sent again, in seconds: longer than control loses its quorum for.
 
 A settlement that is given up leaves its claim running for as long as this host lives.
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         """Start with nothing to settle."""
-        self._outbox = _outbox.Outbox(limit=_LIMIT, patience_s=_PATIENCE_S)
+        self._outbox = _outbox.Outbox(limit=_MAX_SETTLEMENTS, timeout_s=_TIMEOUT_S)
         self._abandoned: collections.OrderedDict[Any, None] = collections.OrderedDict()
 
     def __len__(self) -> int:
@@ -37,7 +37,7 @@
         if not isinstance(message, claim.ClaimAbandon):
             return
         self._abandoned[settled] = None
-        if len(self._abandoned) > _LIMIT:
+        if len(self._abandoned) > _MAX_SETTLEMENTS:
             self._abandoned.popitem(last=False)
 
     def settle_stray(
@@ -63,9 +63,9 @@
         """Forget a settlement that control has recorded."""
         self._outbox.confirm((recorded.key, recorded.holder))
 
-    def take_due(self, now: float) -> tuple[_outbox.PendingMessage, ...]:
+    def collect_due(self, now: float) -> tuple[_outbox.PendingMessage, ...]:
         """Return the settlements to send again now."""
-        return self._outbox.take_due(now)
+        return self._outbox.collect_due(now)
 
     def earliest(self) -> float:
         """Return when the next settlement is due; infinite if there is none."""
--- a/src/medlarfork/entry/_flow_claim.py
+++ b/src/medlarfork/entry/_flow_claim.py
@@ -6,39 +6,39 @@
 from typing import Any
 
 from medlarfork import claim
-from medlarfork.entry import _flow_end, _flow_wait, entry_flow, entry_types, flow_surroundings
+from medlarfork.entry import _flow_end, _flow_wait, entry_flow, entry_types, flow_context
 from medlarfork.filters import answers, deduplicate
 
 
 def ask(
-    flow: entry_flow.Flow, around: flow_surroundings.Surroundings, holder: claim.Holder, now: float
+    flow: entry_flow.Flow, context: flow_context.FlowContext, holder: claim.Holder, now: float
 ) -> entry_flow.Step:
     """Ask control for the claim, the first time or again."""
     heard_at = flow.state.heard_at if isinstance(flow.state, entry_flow.Claiming) else now
     contended = isinstance(flow.state, entry_flow.Claiming) and flow.state.contended
-    ask_at = now + around.options.claim_resend_s
+    ask_at = now + context.options.claim_resend_s
     state = entry_flow.Claiming(heard_at, ask_at, contended)
     claim_request = claim.ClaimRequest(
         deduplicate.key_of(flow.asked), holder, flow.asked.body_sha256
     )
     flow = dataclasses.replace(flow, state=state)
-    return entry_flow.Step(flow, (entry_flow.AskClaim(claim_request),))
+    return entry_flow.Step(flow, (entry_flow.SendClaimRequest(claim_request),))
 
 
 def handle(
     flow: entry_flow.Flow,
     state: entry_flow.Claiming,
     event: Any,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
     """Apply one event while control has not decided."""
     match event:
         case claim.ClaimReply():
-            return _on_reply(flow, event, around, holder, now)
-        case entry_flow.Due():
-            return _on_due(flow, state, around, holder, now)
+            return _on_reply(flow, event, context, holder, now)
+        case entry_flow.TimerDue():
+            return _on_due(flow, state, context, holder, now)
         case entry_types.CallerGone():
             return _flow_end.caller_gone(flow, holder, now)
         case entry_flow.Stop():
@@ -50,15 +50,15 @@
 def _on_reply(
     flow: entry_flow.Flow,
     reply: claim.ClaimReply,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
     match deduplicate.decide(reply):
         case deduplicate.Proceed():
-            return _flow_wait.queue(flow, around, holder, now)
+            return _flow_wait.queue(flow, context, holder, now)
         case deduplicate.InProgress():
-            ask_at = now + around.options.claim_poll_s
+            ask_at = now + context.options.claim_poll_s
             state = entry_flow.Claiming(heard_at=now, ask_at=ask_at, contended=True)
             return entry_flow.Step(dataclasses.replace(flow, state=state))
         case deduplicate.Replay(stored):
@@ -70,7 +70,7 @@
 def _on_due(
     flow: entry_flow.Flow,
     state: entry_flow.Claiming,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -79,17 +79,17 @@
             return _refuse(flow, deduplicate.still_running(), holder, now)
         return _flow_end.fail(flow, answers.deadline_error(ran=False), holder, now)
     # While a duplicate is waited for, control is asked only at each poll.
-    if now >= state.heard_at + _patience_s(state, around):
+    if now >= state.heard_at + _timeout_s(state, context):
         refuse = deduplicate.control_unavailable(contended=state.contended)
         return _refuse(flow, refuse, holder, now)
     if now >= state.ask_at:
-        return ask(flow, around, holder, now)
+        return ask(flow, context, holder, now)
     return entry_flow.Step(flow)
 
 
-def _patience_s(state: entry_flow.Claiming, around: flow_surroundings.Surroundings) -> float:
-    options = around.options
-    return options.claim_patience_s + (options.claim_poll_s if state.contended else 0.0)
+def _timeout_s(state: entry_flow.Claiming, context: flow_context.FlowContext) -> float:
+    options = context.options
+    return options.claim_timeout_s + (options.claim_poll_s if state.contended else 0.0)
 
 
 def _refuse(
--- a/src/medlarfork/entry/_flow_end.py
+++ b/src/medlarfork/entry/_flow_end.py
@@ -25,7 +25,7 @@
     if flow.claimed:
         stored = deduplicate.answer_to_store(asked, ended)
         finish = claim.ClaimFinish(deduplicate.key_of(asked), holder, stored)
-        effects.append(entry_flow.Settle(finish))
+        effects.append(entry_flow.SettleClaim(finish))
     effects.append(record.ended(flow, now, outcome=outcome, status=ended.status or 200))
     return entry_flow.Step(None, tuple(effects))
 
@@ -73,14 +73,14 @@
     return entry_flow.Step(None, (*settle(flow, holder), finished))
 
 
-def settle(flow: entry_flow.Flow, holder: claim.Holder) -> tuple[entry_flow.Settle, ...]:
+def settle(flow: entry_flow.Flow, holder: claim.Holder) -> tuple[entry_flow.SettleClaim, ...]:
     """Return what to tell control of the claim of a request without a whole answer."""
     if not flow.claimed:
         return ()
     key = deduplicate.key_of(flow.asked)
     if flow.uncertain:
-        return (entry_flow.Settle(claim.ClaimFinish(key, holder, None)),)
-    return (entry_flow.Settle(claim.ClaimAbandon(key, holder)),)
+        return (entry_flow.SettleClaim(claim.ClaimFinish(key, holder, None)),)
+    return (entry_flow.SettleClaim(claim.ClaimAbandon(key, holder)),)
 
 
 def outcome_of(flow: entry_flow.Flow) -> request.Outcome:
--- a/src/medlarfork/entry/_flow_run.py
+++ b/src/medlarfork/entry/_flow_run.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from medlarfork import claim, ticket
-from medlarfork.entry import _flow_end, _flow_wait, entry_flow, entry_types, flow_surroundings
+from medlarfork.entry import _flow_end, _flow_wait, entry_flow, entry_types, flow_context
 from medlarfork.filters import answers, retry_rules
 
 _CAUSE_BY_RESULT = {
@@ -21,7 +21,7 @@
     flow: entry_flow.Flow,
     state: entry_flow.Running,
     event: Any,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -30,12 +30,12 @@
         case entry_types.AttemptStarted(attempt_id) if attempt_id == state.ticket_id:
             return entry_flow.Step(with_first_byte(flow, state, now))
         case entry_types.AttemptEnded(attempt_id) if attempt_id == state.ticket_id:
-            return on_ended(flow, state, event, around, holder, now)
-        case entry_flow.FromPeer(sender, message):
-            return _on_peer(flow, state, sender, message, around, now)
+            return on_ended(flow, state, event, context, holder, now)
+        case entry_flow.PeerMessage(sender, message):
+            return _on_peer(flow, state, sender, message, context, now)
         case entry_flow.OwnersChanged(restarted):
-            return _on_owners(flow, state, restarted, around, now)
-        case entry_flow.Due() if now >= flow.asked.deadline_at:
+            return _on_owners(flow, state, restarted, context, now)
+        case entry_flow.TimerDue() if now >= flow.asked.deadline_at:
             return _cancel(flow, state, entry_flow.StopCause.DEADLINE)
         case entry_types.CallerGone():
             return _cancel(flow, state, entry_flow.StopCause.CALLER_GONE)
@@ -70,12 +70,12 @@
     state: entry_flow.Running,
     sender: str,
     message: Any,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     now: float,
 ) -> entry_flow.Step:
     match message:
         case ticket.Grant():
-            return entry_flow.Step(flow, on_other_grant(flow, state, sender, message, around, now))
+            return entry_flow.Step(flow, on_other_grant(flow, state, sender, message, context, now))
         case ticket.Preempt(ticket_id) if ticket_id == state.ticket_id and sender == state.owner:
             if not (flow.resumable or (message.stalled and _may_move(flow, state))):
                 return entry_flow.Step(flow)
@@ -95,32 +95,32 @@
     state: entry_flow.Running,
     sender: str,
     grant: ticket.Grant,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     now: float,
 ) -> tuple[Any, ...]:
     """Give back a grant beside the one in use; a copy of that one changes nothing."""
     same_ticket = sender == state.owner and grant.ticket_id == state.ticket_id
     if same_ticket and grant.upstream_id == state.upstream_id:
         return ()
-    unused = _flow_wait.give_back_unused(sender, grant)
+    unused = _flow_wait.release_unused_grant(sender, grant)
     if not same_ticket:
         return (unused,)
     # The owner has lost its memory of the first grant.
-    return (unused, _announce_running(flow, state, state.owner, around, now))
+    return (unused, _announce_running(flow, state, state.owner, context, now))
 
 
 def _on_owners(
     flow: entry_flow.Flow,
     state: entry_flow.Running,
     restarted: frozenset[str],
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     now: float,
 ) -> entry_flow.Step:
-    owners = around.owners(state.pool)
+    owners = context.owners(state.pool)
     if not owners or (state.owner == owners[0] and state.owner not in restarted):
         return entry_flow.Step(flow)
     flow = dataclasses.replace(flow, state=dataclasses.replace(state, owner=owners[0]))
-    announced = _announce_running(flow, state, owners[0], around, now)
+    announced = _announce_running(flow, state, owners[0], context, now)
     return entry_flow.Step(flow, (announced,))
 
 
@@ -128,20 +128,20 @@
     flow: entry_flow.Flow,
     state: entry_flow.Running,
     owner: str,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     now: float,
-) -> entry_flow.ToOwner:
-    entry_id = around.options.entry_id
+) -> entry_flow.SendToOwner:
+    entry_id = context.options.entry_id
     asked = _flow_wait.make_ticket(flow, state.ticket_id, state.pool, entry_id, now)
     running = ticket.Running(asked, state.upstream_id, now - state.started_at)
-    return entry_flow.ToOwner(owner, running)
+    return entry_flow.SendToOwner(owner, running)
 
 
 def on_ended(
     flow: entry_flow.Flow,
     state: entry_flow.Running,
     event: entry_types.AttemptEnded,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -162,14 +162,14 @@
         case retry_rules.Requeue() as again:
             avoid = tuple(dict.fromkeys((*flow.avoid, state.upstream_id)))
             flow = dataclasses.replace(kept(flow, again), avoid=avoid)
-            step = _retry(flow, again, around, holder, now)
+            step = _retry(flow, again, context, holder, now)
     return entry_flow.Step(step.flow, (released, *step.effects))
 
 
 def _retry(
     flow: entry_flow.Flow,
     again: retry_rules.Requeue,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -177,10 +177,10 @@
         error = answers.deadline_error(ran=flow.uncertain)
         return _flow_end.fail(flow, error, holder, now)
     retries = flow.retries + 1
-    exhausted = retries >= around.options.attempts_limit
-    if exhausted or not around.spend_retry(flow.asked.service):
+    exhausted = retries >= context.options.attempts_limit
+    if exhausted or not context.spend_retry(flow.asked.service):
         return _flow_end.fail(flow, again.otherwise, holder, now)
-    return _flow_wait.queue(dataclasses.replace(flow, retries=retries), around, holder, now)
+    return _flow_wait.queue(dataclasses.replace(flow, retries=retries), context, holder, now)
 
 
 def kept(flow: entry_flow.Flow, again: retry_rules.Requeue) -> entry_flow.Flow:
@@ -196,7 +196,7 @@
     event: entry_types.AttemptEnded,
     cause: ticket.ReleaseCause,
     now: float,
-) -> entry_flow.GiveBack:
+) -> entry_flow.ReleaseSlot:
     """Return the slot of an ended attempt."""
     first_token_s = None
     if state.first_byte_at is not None:
@@ -210,4 +210,4 @@
         tokens=max(event.tokens - flow.tokens, 0),
         pause_s=event.pause_s,
     )
-    return entry_flow.GiveBack(state.owner, given_back)
+    return entry_flow.ReleaseSlot(state.owner, given_back)
--- a/src/medlarfork/entry/_flow_stop.py
+++ b/src/medlarfork/entry/_flow_stop.py
@@ -12,7 +12,7 @@
     _flow_wait,
     entry_flow,
     entry_types,
-    flow_surroundings,
+    flow_context,
 )
 from medlarfork.filters import answers, retry_rules
 
@@ -28,7 +28,7 @@
     flow: entry_flow.Flow,
     state: entry_flow.Stopping,
     event: Any,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -40,10 +40,10 @@
             stopping = entry_flow.Stopping(flow.state, state.cause)
             return entry_flow.Step(dataclasses.replace(flow, state=stopping))
         case entry_types.AttemptEnded(attempt_id) if attempt_id == running.ticket_id:
-            return _on_stopped(flow, state, event, around, holder, now)
-        case entry_flow.FromPeer(sender, ticket.Grant() as grant):
+            return _on_stopped(flow, state, event, context, holder, now)
+        case entry_flow.PeerMessage(sender, ticket.Grant() as grant):
             return entry_flow.Step(
-                flow, _flow_run.on_other_grant(flow, running, sender, grant, around, now)
+                flow, _flow_run.on_other_grant(flow, running, sender, grant, context, now)
             )
         # The caller's leaving, the deadline and the stop overrule a preemption.
         case entry_types.CallerGone():
@@ -65,14 +65,14 @@
     flow: entry_flow.Flow,
     state: entry_flow.Stopping,
     event: entry_types.AttemptEnded,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
     running = state.running
     if event.result is entry_types.AttemptResult.COMPLETE:
         # The answer's end and the cancellation crossed.
-        return _flow_run.on_ended(flow, running, event, around, holder, now)
+        return _flow_run.on_ended(flow, running, event, context, holder, now)
     released = _flow_run.release(flow, running, event, _CAUSE_BY_STOP[state.cause], now)
     flow = dataclasses.replace(flow, relayed=flow.relayed or event.relayed)
     started = running.first_byte_at is not None
@@ -84,7 +84,7 @@
             flow = _flow_run.kept(flow, again)
         case _:
             flow = dataclasses.replace(flow, uncertain=True, tokens=event.tokens)
-    step = _after_stop(flow, state.cause, decision, around, holder, now)
+    step = _after_stop(flow, state.cause, decision, context, holder, now)
     return entry_flow.Step(step.flow, (released, *step.effects))
 
 
@@ -92,7 +92,7 @@
     flow: entry_flow.Flow,
     cause: entry_flow.StopCause,
     decision: retry_rules.Decision,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -106,7 +106,7 @@
             return _flow_end.fail(flow, answers.drained_error(), holder, now)
         case entry_flow.StopCause.PREEMPTED if isinstance(decision, retry_rules.Requeue):
             if now < flow.asked.deadline_at:
-                return _flow_wait.queue(flow, around, holder, now)
+                return _flow_wait.queue(flow, context, holder, now)
             return _flow_end.fail(flow, answers.deadline_error(ran=True), holder, now)
         case entry_flow.StopCause.PREEMPTED:
             error = answers.upstream_error("the paused stream can't be resumed")
--- a/src/medlarfork/entry/_flow_wait.py
+++ b/src/medlarfork/entry/_flow_wait.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from medlarfork import claim, ticket
-from medlarfork.entry import _flow_end, _flow_start, entry_flow, entry_types, flow_surroundings
+from medlarfork.entry import _flow_end, _flow_start, entry_flow, entry_types, flow_context
 from medlarfork.filters import answers, deduplicate
 
 _HANDOVER_PAUSE_S = 0.1
@@ -15,31 +15,31 @@
 
 
 def queue(
-    flow: entry_flow.Flow, around: flow_surroundings.Surroundings, holder: claim.Holder, now: float
+    flow: entry_flow.Flow, context: flow_context.FlowContext, holder: claim.Holder, now: float
 ) -> entry_flow.Step:
     """Queue for the next attempt."""
-    pool = around.choose_pool(flow.asked.service, now)
+    pool = context.choose_pool(flow.asked.service, now)
     if not pool:
         return _flow_end.fail(flow, answers.no_capacity_error(), holder, now)
-    return _ask(flow, pool, around.owners(pool)[0], around, now)
+    return _ask(flow, pool, context.owners(pool)[0], context, now)
 
 
 def handle(
     flow: entry_flow.Flow,
     state: entry_flow.Waiting,
     event: Any,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
     """Apply one event while no slot has been granted."""
     match event:
-        case entry_flow.FromPeer(sender, message):
-            return _on_peer(flow, state, sender, message, around, holder, now)
-        case entry_flow.Due():
-            return _on_due(flow, state, around, holder, now)
+        case entry_flow.PeerMessage(sender, message):
+            return _on_peer(flow, state, sender, message, context, holder, now)
+        case entry_flow.TimerDue():
+            return _on_due(flow, state, context, holder, now)
         case entry_flow.OwnersChanged(restarted):
-            return _on_owners(flow, state, restarted, around, holder, now)
+            return _on_owners(flow, state, restarted, context, holder, now)
         case entry_types.CallerGone():
             return _leave(state, _flow_end.caller_gone(flow, holder, now))
         case entry_flow.Stop():
@@ -48,10 +48,10 @@
             return entry_flow.Step(flow)
 
 
-def give_back_unused(sender: str, grant: ticket.Grant) -> entry_flow.GiveBack:
+def release_unused_grant(sender: str, grant: ticket.Grant) -> entry_flow.ReleaseSlot:
     """Return the release of a grant that is not used."""
     release = ticket.Release(grant.ticket_id, grant.pool, ticket.ReleaseCause.UNUSED)
-    return entry_flow.GiveBack(sender, release)
+    return entry_flow.ReleaseSlot(sender, release)
 
 
 def make_ticket(
@@ -88,16 +88,16 @@
 
 
 def _ask(
-    flow: entry_flow.Flow, pool: str, owner: str, around: flow_surroundings.Surroundings, now: float
+    flow: entry_flow.Flow, pool: str, owner: str, context: flow_context.FlowContext, now: float
 ) -> entry_flow.Step:
     """Ask an owner with a new ticket; owners ignore what they were told to forget."""
     attempt = flow.attempt + 1
     ticket_id = entry_flow.ticket_id(flow.asked.request_id, attempt)
-    resend_at = now + around.options.ticket_resend_s
+    resend_at = now + context.options.ticket_resend_s
     state = entry_flow.Waiting(ticket_id, pool, owner, asked_at=now, resend_at=resend_at)
     flow = dataclasses.replace(flow, state=state, attempt=attempt)
-    asked = make_ticket(flow, ticket_id, pool, around.options.entry_id, now)
-    return entry_flow.Step(flow, (entry_flow.ToOwner(owner, asked),))
+    asked = make_ticket(flow, ticket_id, pool, context.options.entry_id, now)
+    return entry_flow.Step(flow, (entry_flow.SendToOwner(owner, asked),))
 
 
 def _on_peer(
@@ -105,7 +105,7 @@
     state: entry_flow.Waiting,
     sender: str,
     message: Any,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
@@ -113,13 +113,13 @@
     match message:
         # An owner passed over got a withdrawal, so its slot is no longer ours.
         case ticket.Grant() if not current:
-            return entry_flow.Step(flow, (give_back_unused(sender, message),))
+            return entry_flow.Step(flow, (release_unused_grant(sender, message),))
         case ticket.Grant():
-            return _on_grant(flow, state, message, around, holder, now)
+            return _on_grant(flow, state, message, context, holder, now)
         case ticket.Queued() if current:
             # A ticket that waits in this very process can't get lost.
-            local = sender == around.options.entry_id
-            resend_at = math.inf if local else now + around.options.ticket_refresh_s
+            local = sender == context.options.entry_id
+            resend_at = math.inf if local else now + context.options.ticket_refresh_s
             state = dataclasses.replace(state, asked_at=None, resend_at=resend_at)
             return entry_flow.Step(dataclasses.replace(flow, state=state))
         case ticket.Shed(reason=ticket.ShedReason.NOT_OWNER) if current:
@@ -137,16 +137,16 @@
     flow: entry_flow.Flow,
     state: entry_flow.Waiting,
     grant: ticket.Grant,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    unused = give_back_unused(state.owner, grant)
+    unused = release_unused_grant(state.owner, grant)
     if now >= flow.asked.deadline_at:
         error = answers.deadline_error(ran=flow.uncertain)
         return _before(unused, _flow_end.fail(flow, error, holder, now))
     # Control may have told a duplicate by now that this host was lost and runs nothing any more.
-    if flow.claimed and not around.holds_lease(now):
+    if flow.claimed and not context.holds_lease(now):
         step = _flow_end.fail(flow, deduplicate.no_quorum_error(), holder, now)
         return _before(unused, step)
     return _flow_start.start(flow, state, grant, now)
@@ -155,57 +155,57 @@
 def _on_due(
     flow: entry_flow.Flow,
     state: entry_flow.Waiting,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    options = around.options
+    options = context.options
     if now >= flow.asked.deadline_at:
         error = answers.deadline_error(ran=flow.uncertain)
         return _leave(state, _flow_end.fail(flow, error, holder, now))
     if now < state.resend_at:
         return entry_flow.Step(flow)
-    if state.asked_at is not None and now >= state.asked_at + options.owner_silence_s:
-        return _ask_next(flow, state, around, now)
+    if state.asked_at is not None and now >= state.asked_at + options.owner_timeout_s:
+        return _ask_next(flow, state, context, now)
     asked_at = now if state.asked_at is None else state.asked_at
     state = dataclasses.replace(state, asked_at=asked_at, resend_at=now + options.ticket_resend_s)
     flow = dataclasses.replace(flow, state=state)
     again = make_ticket(flow, state.ticket_id, state.pool, options.entry_id, now)
-    return entry_flow.Step(flow, (entry_flow.ToOwner(state.owner, again),))
+    return entry_flow.Step(flow, (entry_flow.SendToOwner(state.owner, again),))
 
 
 def _ask_next(
     flow: entry_flow.Flow,
     state: entry_flow.Waiting,
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     now: float,
 ) -> entry_flow.Step:
-    owners = around.owners(state.pool) or (state.owner,)
+    owners = context.owners(state.pool) or (state.owner,)
     position = owners.index(state.owner) + 1 if state.owner in owners else 0
     owner = owners[position % len(owners)]
-    return _before(_withdraw(state), _ask(flow, state.pool, owner, around, now))
+    return _before(_withdraw(state), _ask(flow, state.pool, owner, context, now))
 
 
 def _on_owners(
     flow: entry_flow.Flow,
     state: entry_flow.Waiting,
     restarted: frozenset[str],
-    around: flow_surroundings.Surroundings,
+    context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    owners = around.owners(state.pool)
+    owners = context.owners(state.pool)
     if not owners:
         # The pool is gone with its service or with a change of its shards.
-        return _before(_withdraw(state), queue(flow, around, holder, now))
+        return _before(_withdraw(state), queue(flow, context, holder, now))
     if state.owner == owners[0] and state.owner not in restarted:
         return entry_flow.Step(flow)
-    asked = _ask(flow, state.pool, owners[0], around, now)
+    asked = _ask(flow, state.pool, owners[0], context, now)
     return _before(_withdraw(state), asked) if state.owner != owners[0] else asked
 
 
-def _withdraw(state: entry_flow.Waiting) -> entry_flow.ToOwner:
-    return entry_flow.ToOwner(state.owner, ticket.Withdraw(state.ticket_id, state.pool))
+def _withdraw(state: entry_flow.Waiting) -> entry_flow.SendToOwner:
+    return entry_flow.SendToOwner(state.owner, ticket.Withdraw(state.ticket_id, state.pool))
 
 
 def _leave(state: entry_flow.Waiting, step: entry_flow.Step) -> entry_flow.Step:
--- a/src/medlarfork/entry/_outbox.py
+++ b/src/medlarfork/entry/_outbox.py
@@ -9,13 +9,13 @@
 
 from medlarfork.entry import _timer_heap
 
-_FIRST_PAUSE_S = 0.5
+_INITIAL_DELAY_S = 0.5
 """Pause before a message is sent again; it doubles each time, in seconds."""
 
-_LONGEST_PAUSE_S = 4.0
+_MAX_DELAY_S = 4.0
 """Longest such pause, in seconds."""
 
-_DUE_PER_CALL = 256
+_MAX_DUE_PER_CALL = 256
 """Most messages resent in one call, so that the work of one event is bounded."""
 
 
@@ -38,10 +38,10 @@
 class Outbox:
     """Keep a bounded number of unconfirmed messages; the oldest is dropped beyond that."""
 
-    def __init__(self, *, limit: int, patience_s: float) -> None:
-        """Start empty; each message is resent for at most ``patience_s`` seconds."""
+    def __init__(self, *, limit: int, timeout_s: float) -> None:
+        """Start empty; each message is resent for at most ``timeout_s`` seconds."""
         self._limit = limit
-        self._patience_s = patience_s
+        self._timeout_s = timeout_s
         self._pending_by_key: collections.OrderedDict[Hashable, PendingMessage] = (
             collections.OrderedDict()
         )
@@ -59,8 +59,8 @@
     def put(self, key: Hashable, to: str, message: Any, now: float) -> None:
         """Keep a message that has just been sent for the first time."""
         self._pending_by_key.pop(key, None)
-        self._pending_by_key[key] = PendingMessage(to, message, 1, now + self._patience_s)
-        self._timers.set(key, now + _FIRST_PAUSE_S)
+        self._pending_by_key[key] = PendingMessage(to, message, 1, now + self._timeout_s)
+        self._timers.set(key, now + _INITIAL_DELAY_S)
         while len(self._pending_by_key) > self._limit:
             self._drop(next(iter(self._pending_by_key)))
 
@@ -69,17 +69,17 @@
         self._pending_by_key.pop(key, None)
         self._timers.clear(key)
 
-    def take_due(self, now: float) -> tuple[PendingMessage, ...]:
+    def collect_due(self, now: float) -> tuple[PendingMessage, ...]:
         """Return the messages to send again now; call again while ``earliest`` has passed."""
         due: list[PendingMessage] = []
-        while len(due) < _DUE_PER_CALL and (key := self._timers.pop_due(now)) is not None:
+        while len(due) < _MAX_DUE_PER_CALL and (key := self._timers.pop_due(now)) is not None:
             pending = self._pending_by_key[key]
             if now >= pending.give_up_at:
                 self._drop(key)
                 continue
             due.append(pending)
             self._pending_by_key[key] = dataclasses.replace(pending, tries=pending.tries + 1)
-            pause_s = min(_FIRST_PAUSE_S * 2**pending.tries, _LONGEST_PAUSE_S)
+            pause_s = min(_INITIAL_DELAY_S * 2**pending.tries, _MAX_DELAY_S)
             self._timers.set(key, now + pause_s)
         return tuple(due)
 
--- a/src/medlarfork/entry/_peer_links.py
+++ b/src/medlarfork/entry/_peer_links.py
@@ -5,10 +5,10 @@
 import collections
 from typing import Any, Protocol
 
-IDLE_S = 300.0
+IDLE_TIMEOUT_S = 300.0
 """How long a link may be unused before it is closed, in seconds."""
 
-LIMIT = 128
+MAX_LINKS = 128
 """Most links that are opened from here; each takes two descriptors. The longest unused go first."""
 
 
@@ -63,7 +63,7 @@
         """Close the connections that are unused, and those above the limit."""
         while self._used_at_by_id:
             peer_id, used_at = next(iter(self._used_at_by_id.items()))
-            if len(self._used_at_by_id) <= LIMIT and now < used_at + IDLE_S:
+            if len(self._used_at_by_id) <= MAX_LINKS and now < used_at + IDLE_TIMEOUT_S:
                 return
             del self._used_at_by_id[peer_id]
             self._link.disconnect(peer_id)
--- a/src/medlarfork/entry/_shard_choice.py
+++ b/src/medlarfork/entry/_shard_choice.py
@@ -7,25 +7,25 @@
 
 from medlarfork import rendezvous, ticket
 
-_FEWEST = 2
+_MIN_POOLS = 2
 """Pools of a service that an entry host uses at least, if there are so many."""
 
-_CALLERS_PER_POOL = 16
+_MIN_CALLERS_PER_POOL = 16
 """Entry hosts that use a pool on average at least; by chance alone none has no caller then."""
 
-_SPARE = 2
+_MAX_EXTRA_POOLS = 2
 """Pools beyond its own that an entry host tries while its own are overloaded.
 
 More would connect every host with every owner in just the worst moments.
 """
 
-_OVERLOADED = 2.0
+_OVERLOAD_RATIO = 2.0
 """Requests for each slot, running and queued, from which on others are tried."""
 
-_FREE = 0.5
+_DEFAULT_LOAD = 0.5
 """Load taken for a pool that sent no summary lately: no ticket had to wait there."""
 
-_KNOWN_S = 5.0
+_SUMMARY_TTL_S = 5.0
 """How long a summary counts, in seconds; a pool where tickets wait sends them more often."""
 
 
@@ -56,12 +56,12 @@
         self._asked_since_by_pool: dict[str, int] = {}
         self._ranked_by_pools: dict[tuple[str, ...], tuple[str, ...]] = {}
 
-    def learn(self, summary: ticket.PoolSummary, now: float) -> None:
+    def record_summary(self, summary: ticket.PoolSummary, now: float) -> None:
         """Take a pool's newest load."""
         self._heard_by_pool[summary.pool] = _Heard(summary, now)
         self._asked_since_by_pool[summary.pool] = 0
 
-    def keep_only(self, pools: frozenset[str]) -> None:
+    def retain_only(self, pools: frozenset[str]) -> None:
         """Forget pools that no longer exist."""
         for by_pool in (self._heard_by_pool, self._asked_since_by_pool):
             for known in tuple(by_pool):
@@ -90,7 +90,7 @@
         ranked = self._ranked(pools)
         count = _subset_size(len(pools), hosts)
         alive = tuple(pool for pool in ranked if self._is_alive(pool))
-        near = alive[: count + _SPARE]
+        near = alive[: count + _MAX_EXTRA_POOLS]
         calm = tuple(pool for pool in near if not self._is_overloaded(pool))
         return calm[:count] or alive[:count] or ranked[:count]
 
@@ -98,7 +98,7 @@
         """Forget old summaries, so that a pool that was no help is asked again."""
         for pool in pools:
             heard = self._heard_by_pool.get(pool)
-            if heard is not None and now >= heard.heard_at + _KNOWN_S:
+            if heard is not None and now >= heard.heard_at + _SUMMARY_TTL_S:
                 del self._heard_by_pool[pool]
                 self._asked_since_by_pool[pool] = 0
 
@@ -117,12 +117,12 @@
         heard = self._heard_by_pool.get(pool)
         if heard is None:
             return False
-        return heard.summary.running + heard.summary.queued >= _OVERLOADED * heard.summary.slots
+        return heard.summary.running + heard.summary.queued >= _OVERLOAD_RATIO * heard.summary.slots
 
     def _load(self, pool: str) -> float:
         heard = self._heard_by_pool.get(pool)
         if heard is None:
-            return _FREE
+            return _DEFAULT_LOAD
         summary = heard.summary
         if not summary.slots:
             return float("inf")
@@ -132,5 +132,5 @@
 
 def _subset_size(pools: int, hosts: int) -> int:
     """Return how many of a service's pools each entry host uses."""
-    for_callers = -(-pools * _CALLERS_PER_POOL // max(hosts, 1))
-    return min(max(_FEWEST, for_callers), pools)
+    for_callers = -(-pools * _MIN_CALLERS_PER_POOL // max(hosts, 1))
+    return min(max(_MIN_POOLS, for_callers), pools)
--- a/src/medlarfork/entry/_upstream_gauges.py
+++ b/src/medlarfork/entry/_upstream_gauges.py
@@ -6,7 +6,7 @@
 
 from medlarfork.entry import entry_status, telemetry
 
-_SERIES_LIMIT = 1_500
+_MAX_UPSTREAMS = 1_500
 """Most upstreams shown in the metrics; ``/v1/status`` shows all of them."""
 
 ReadUpstreams = Callable[[], Iterable[entry_status.UpstreamStatus]]
@@ -15,17 +15,17 @@
 def observe(metrics: telemetry.Telemetry, read: ReadUpstreams) -> None:
     """Read the gauges through ``read``; call this before the metrics start."""
 
-    def _health() -> list[telemetry.Reading]:
+    def _health() -> list[telemetry.GaugeValue]:
         return [
-            telemetry.Reading(1.0, {**_labels(item), "health": use.health.value})
+            telemetry.GaugeValue(1.0, {**_labels(item), "health": use.health.value})
             for item, use in _shown(read())
         ]
 
-    def _limit() -> list[telemetry.Reading]:
-        return [telemetry.Reading(use.limit, _labels(item)) for item, use in _shown(read())]
+    def _limit() -> list[telemetry.GaugeValue]:
+        return [telemetry.GaugeValue(use.limit, _labels(item)) for item, use in _shown(read())]
 
-    def _running() -> list[telemetry.Reading]:
-        return [telemetry.Reading(use.running, _labels(item)) for item, use in _shown(read())]
+    def _running() -> list[telemetry.GaugeValue]:
+        return [telemetry.GaugeValue(use.running, _labels(item)) for item, use in _shown(read())]
 
     metrics.observe(telemetry.Gauge.UPSTREAM_HEALTH, _health)
     metrics.observe(telemetry.Gauge.UPSTREAM_LIMIT, _limit)
@@ -37,7 +37,7 @@
 ) -> list[tuple[entry_status.UpstreamStatus, entry_status.UpstreamUse]]:
     """Return the upstreams whose pool runs here, at most as many as the metrics can hold."""
     used = [(item, item.use) for item in upstreams if item.use is not None]
-    return sorted(used, key=lambda pair: pair[0].upstream_id)[:_SERIES_LIMIT]
+    return sorted(used, key=lambda pair: pair[0].upstream_id)[:_MAX_UPSTREAMS]
 
 
 def _labels(item: entry_status.UpstreamStatus) -> dict[str, str]:
--- a/src/medlarfork/entry/conversation.py
+++ b/src/medlarfork/entry/caller_session.py
@@ -29,8 +29,8 @@
 """Upstream headers that concern its own connection, or that the entry host sets."""
 
 
-class Conversation:
-    """Own one exchange with a caller; the node's actions for it arrive through ``tell``.
+class CallerSession:
+    """Own one exchange with a caller; the node's actions for it arrive through ``enqueue_action``.
 
     Attributes:
         raw: The request as it was read.
@@ -58,7 +58,7 @@
         self._told: collections.deque[Any] = collections.deque()
         self._something_told = curio.Event()
 
-    async def tell(self, action: Any) -> None:
+    async def enqueue_action(self, action: Any) -> None:
         """Leave an action of the node for the task that serves the caller."""
         self._told.append(action)
         await self._something_told.set()
@@ -113,7 +113,7 @@
         """Return the size of a whole answer that waits for its end, in bytes."""
         return sum(len(part) for part in self._held)
 
-    def begin_attempt(
+    def start_response(
         self, dispatch: entry_types.Dispatch, status: int, headers: Mapping[str, str]
     ) -> None:
         """Take bytes of this attempt from now on.
@@ -143,7 +143,7 @@
         if passed:
             self._held.append(passed)
 
-    async def pass_on(self, attempt_id: str, data: bytes) -> bool:
+    async def forward(self, attempt_id: str, data: bytes) -> bool:
         """Write bytes to the caller at once, after those held; return whether any were written.
 
         Raises:
--- a/src/medlarfork/entry/control_session.py
+++ b/src/medlarfork/entry/control_session.py
@@ -14,16 +14,16 @@
 from medlarfork.entry import entry_options, entry_types, inventory_reporter, view_delta
 from medlarfork.orders import inventory
 
-_REMEMBERED_HEARTBEATS = 32
+_MAX_TRACKED_HEARTBEATS = 32
 """Heartbeats whose replies can still prove something."""
 
-_NOTICE_PAUSE_S = 0.05
+_MIN_NOTICE_INTERVAL_S = 0.05
 """Least time between heartbeats that notices bring about, in seconds."""
 
-_LEADER_SILENCE_S = 1.5 * heartbeat.HEARTBEAT_PERIOD_S
+_LEADER_TIMEOUT_S = 1.5 * heartbeat.HEARTBEAT_PERIOD_S
 """How long a known leader may leave heartbeats unanswered before another replica is asked."""
 
-_STRANGER_SILENCE_S = 0.9 * heartbeat.HEARTBEAT_PERIOD_S
+_CANDIDATE_TIMEOUT_S = 0.9 * heartbeat.HEARTBEAT_PERIOD_S
 """The same for a replica that has not answered yet."""
 
 _FIRST_NUMBER_BITS = 31
@@ -123,7 +123,7 @@
 
     def report(self) -> tuple[Any, ...]:
         """Send control what has changed among the upstreams."""
-        reports = self.upstreams.take_reports() if self._options.control_ids else ()
+        reports = self.upstreams.pop_reports() if self._options.control_ids else ()
         return tuple(node.Send(self.leader_id, report) for report in reports)
 
     def _on_message(self, sender: str, message: Any, now: float) -> tuple[Any, ...]:
@@ -141,7 +141,7 @@
                     self._turn_to(self._options.control_ids.index(sender))
                 out_is_newer = out_version > self._out_of_service_version
                 if revision > self.revision or version > self.view.version or out_is_newer:
-                    self.wake_at = min(self.wake_at, self._sent_at + _NOTICE_PAUSE_S)
+                    self.wake_at = min(self.wake_at, self._sent_at + _MIN_NOTICE_INTERVAL_S)
                 return self._beat(now) if now >= self.wake_at else ()
             case _:
                 return ()
@@ -156,7 +156,7 @@
         self._number += 1
         self._sent_at = now
         self._sent_at_by_number[self._number] = now
-        if len(self._sent_at_by_number) > _REMEMBERED_HEARTBEATS:
+        if len(self._sent_at_by_number) > _MAX_TRACKED_HEARTBEATS:
             self._sent_at_by_number.popitem(last=False)
         # Revision 0 makes control send the whole configuration.
         revision = 0 if self._base_is_damaged else self.revision
@@ -184,8 +184,8 @@
 
     def _target_is_silent(self, now: float) -> bool:
         if self._heard_at >= self._asked_since:
-            return now - self._heard_at >= _LEADER_SILENCE_S
-        return now - self._asked_since >= _STRANGER_SILENCE_S
+            return now - self._heard_at >= _LEADER_TIMEOUT_S
+        return now - self._asked_since >= _CANDIDATE_TIMEOUT_S
 
     def _turn_to(self, target: int) -> None:
         self._target = target
--- a/src/medlarfork/entry/drain.py
+++ b/src/medlarfork/entry/drain.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Burden:
+class RemainingWork:
     """Say what keeps this host from stopping.
 
     Attributes:
@@ -75,26 +75,26 @@
     unconfirmed: int
 
 
-def begin(options: entry_options.EntryNodeOptions, now: float) -> Accepting:
+def start(options: entry_options.EntryNodeOptions, now: float) -> Accepting:
     """Return the first stage of a stop."""
     refuse_at = now + options.drain_notice_s + options.entries_lifetime_s
     return Accepting(refuse_at, max(refuse_at, now + options.drain_limit_s))
 
 
 def advance(
-    stage: Stage, burden: Burden, options: entry_options.EntryNodeOptions, now: float
+    stage: Stage, remaining: RemainingWork, options: entry_options.EntryNodeOptions, now: float
 ) -> Stage:
     """Return the stage that follows from the time and from what is left."""
     match stage:
         case Accepting(refuse_at, cut_at) if now >= refuse_at:
-            return advance(Finishing(cut_at), burden, options, now)
-        case Finishing() if not burden.requests:
-            return advance(Settling(now + options.settle_s), burden, options, now)
+            return advance(Finishing(cut_at), remaining, options, now)
+        case Finishing() if not remaining.requests:
+            return advance(Settling(now + options.settle_s), remaining, options, now)
         case Finishing(cut_at) if now >= cut_at:
             return Cutting(now + options.settle_s)
-        case Cutting(until) if not burden.requests or now >= until:
-            return advance(Settling(now + options.settle_s), burden, options, now)
-        case Settling(until) if not burden.unconfirmed or now >= until:
+        case Cutting(until) if not remaining.requests or now >= until:
+            return advance(Settling(now + options.settle_s), remaining, options, now)
+        case Settling(until) if not remaining.unconfirmed or now >= until:
             return Stopped()
         case _:
             return stage
--- a/src/medlarfork/entry/entries_answer.py
+++ b/src/medlarfork/entry/entries_answer.py
@@ -14,10 +14,10 @@
 ENTRIES_PATH = "/v1/entries"
 """Where callers ask which entry hosts to use."""
 
-_ENTRIES_LIMIT = 16
+_MAX_ENTRIES = 16
 """Most entry hosts named in one answer."""
 
-_LEAST_FREE_SHARE = 0.05
+_MIN_FREE_SHARE = 0.05
 """Free share that a full host counts with, so that it is still named now and then."""
 
 
@@ -37,11 +37,11 @@
     lifetime_s: float
 
 
-def nameable(
-    view: member.View, declared: configuration.Configuration, *, but: Iterable[str] = ()
+def listable_members(
+    view: member.View, declared: configuration.Configuration, *, exclude: Iterable[str] = ()
 ) -> tuple[member.Member, ...]:
     """Return the entry hosts that may be named to callers."""
-    left_out = frozenset(declared.drained_entries) | frozenset(but)
+    left_out = frozenset(declared.drained_entries) | frozenset(exclude)
     return tuple(
         item
         for item in view.members
@@ -49,7 +49,7 @@
     )
 
 
-def asked_data_centre(query: str) -> str:
+def requested_data_centre(query: str) -> str:
     """Return the data centre that the caller's query names as its own, if any."""
     return dict(urllib.parse.parse_qsl(query)).get("dc", "")
 
@@ -69,13 +69,13 @@
     keyed = [(_order(item, data_centre, generator), item) for item in members]
     keyed.sort(key=lambda pair: pair[0])
     entries = tuple(Entry(item.http_address, item.data_centre) for _, item in keyed)
-    return EntriesAnswer(entries[:_ENTRIES_LIMIT], lifetime_s)
+    return EntriesAnswer(entries[:_MAX_ENTRIES], lifetime_s)
 
 
 def _order(
     item: member.Member, data_centre: str, generator: random.Random
 ) -> tuple[bool, float, str]:
-    free_share = max(1.0 - item.load, _LEAST_FREE_SHARE)
+    free_share = max(1.0 - item.load, _MIN_FREE_SHARE)
     # Smallest of exponential variables: each host comes first in proportion to its free share.
     waiting = -math.log(1.0 - generator.random()) / free_share
     return item.data_centre != data_centre, waiting, item.entry_id
--- a/src/medlarfork/entry/entry.py
+++ b/src/medlarfork/entry/entry.py
@@ -100,8 +100,8 @@
 
     def is_ready(self, now: float) -> bool:
         """Return whether this host takes requests."""
-        standing = self._queries.standing(now, refusing=drain.refuses(self._stage))
-        return standing.usable and not standing.refusing
+        host_status = self._queries.host_status(now, refusing=drain.refuses(self._stage))
+        return host_status.usable and not host_status.refusing
 
     def _on_event(self, event: Any, now: float) -> Iterable[Any]:
         match event:
@@ -115,7 +115,7 @@
             case entry_types.AnnouncementReceived(call_id, announcement):
                 reply = self._directory.reply(announcement, self._session.view)
                 answered = entry_types.AnnouncementAnswered(call_id, reply)
-                return (*self._directory.announce(announcement, now), answered)
+                return (*self._directory.handle_announcement(announcement, now), answered)
             case _ if isinstance(self._stage, drain.Stopped):
                 return ()
             case node.MessageReceived(sender, message):
@@ -124,8 +124,8 @@
                 return self._session.handle(event, now)
             case node.TimeDue():
                 return self._on_time(event, now)
-            case entry_types.DrainAsked() if isinstance(self._stage, drain.Serving):
-                self._stage = drain.begin(self._options, now)
+            case entry_types.DrainRequested() if isinstance(self._stage, drain.Serving):
+                self._stage = drain.start(self._options, now)
                 return self._session.beat(now)
             case _:
                 return ()
@@ -142,14 +142,14 @@
     def _take(self, raw: entry_types.RawRequest, now: float) -> Iterable[Any]:
         """Pass a request along the filters that need no other process."""
         declared = self._session.configuration
-        standing = self._queries.standing(now, refusing=drain.refuses(self._stage))
-        admit.check_host_status(standing)
+        host_status = self._queries.host_status(now, refusing=drain.refuses(self._stage))
+        admit.check_host_status(host_status)
         parsed = parse.parse(raw)
         account = identify.identify(declared, raw.headers)
         asked = classify.assign(declared, account, parsed, now=now)
         deduplicate.check_key(declared, asked)
-        self._requests.admission.admit(len(raw.body), standing, repeatable=asked.repeatable)
-        return self._requests.begin(asked, len(raw.body), now)
+        self._requests.admission.admit(len(raw.body), host_status, repeatable=asked.repeatable)
+        return self._requests.start(asked, len(raw.body), now)
 
     def _on_message(self, sender: str, message: Any, now: float) -> Iterable[Any]:
         match message:
@@ -161,10 +161,10 @@
             case ticket.Grant() | ticket.Shed() | ticket.Preempt() | ticket.Queued():
                 return self._requests.on_peer(sender, message, now)
             case ticket.PoolSummary():
-                self._requests.shards.learn(message, now)
+                self._requests.shards.record_summary(message, now)
                 return ()
             case entry_types.UpstreamSeen():
-                return self._directory.seen(message, now)
+                return self._directory.handle_forwarded(message, now)
             case _ if sender in self._options.control_ids:
                 return self._on_control(sender, message, now)
             case _:
@@ -213,9 +213,9 @@
         """Tell control of an upstream whose pool is owned here."""
         match event:
             case pool_events.UpstreamGone(upstream_id):
-                self._session.upstreams.forget(upstream_id)
+                self._session.upstreams.remove(upstream_id)
             case _ if self._requests.owned.owns(pool_name):
-                self._session.upstreams.note(event.announcement)
+                self._session.upstreams.observe(event.announcement)
 
     def _on_view(self, previous: member.View, now: float) -> Iterable[Any]:
         current = self._session.view.member_by_id
@@ -229,7 +229,7 @@
             # The others have dropped what this host told them, but its own pools have not.
             lost.remove(self._options.entry_id)
             return self._reconfigure(frozenset(current), now)
-        told = [sent for item in sorted(lost) for sent in self._pools.entry_gone(item, now)]
+        told = [sent for item in sorted(lost) for sent in self._pools.entry_lost(item, now)]
         return (*told, *self._reconfigure(frozenset(lost), now))
 
     def _reconfigure(self, restarted: frozenset[str], now: float) -> Iterable[Any]:
@@ -239,11 +239,11 @@
         owned = ownership.Ownership(self._options.entry_id, declared, view, before)
         self._requests.owned = owned
         names = frozenset(name for item in declared.services for name in owned.pools(item.name))
-        self._requests.shards.keep_only(names)
+        self._requests.shards.retain_only(names)
         moved = self._directory.apply(declared, owned, now)
         handed = self._pools.apply(declared, owned, now)
         leases = self._directory.leases
-        self._session.upstreams.keep(
+        self._session.upstreams.retain_only(
             lease.announcement for lease in leases if owned.owns(lease.pool)
         )
         changed = entry_flow.OwnersChanged(restarted)
@@ -252,8 +252,8 @@
     def _advance_stage(self, now: float) -> Iterable[Any]:
         """Take a graceful stop further."""
         before = self._stage
-        burden = drain.Burden(len(self._requests), self._requests.unconfirmed)
-        self._stage = drain.advance(before, burden, self._options, now)
+        remaining = drain.RemainingWork(len(self._requests), self._requests.unconfirmed)
+        self._stage = drain.advance(before, remaining, self._options, now)
         if type(self._stage) is type(before):
             return ()
         match self._stage:
--- a/src/medlarfork/entry/entry_api.py
+++ b/src/medlarfork/entry/entry_api.py
@@ -86,7 +86,7 @@
             case "/readyz":
                 await self._readiness(exchange)
             case "/metrics":
-                body = await self._metrics.render_aside()
+                body = await self._metrics.render_in_thread()
                 await exchange.respond(200, {"Content-Type": telemetry.CONTENT_TYPE}, body)
             case entries_answer.ENTRIES_PATH:
                 answer = self._node.entries(_raw(request_id, head), self._clock())
--- a/src/medlarfork/entry/entry_flow.py
+++ b/src/medlarfork/entry/entry_flow.py
@@ -133,7 +133,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FromPeer:
+class PeerMessage:
     """Event: another entry host, or this one as the pool's owner, said something of a ticket."""
 
     sender: str
@@ -141,7 +141,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Due:
+class TimerDue:
     """Event: the flow's timer has come."""
 
 
@@ -162,7 +162,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToOwner:
+class SendToOwner:
     """Effect: send a message to a pool's owner, which may be this entry host."""
 
     owner: str
@@ -170,7 +170,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveBack:
+class ReleaseSlot:
     """Effect: send a release to a pool's owner until it is confirmed."""
 
     owner: str
@@ -178,14 +178,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskClaim:
+class SendClaimRequest:
     """Effect: send a claim request to the control leader."""
 
     claim_request: claim.ClaimRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settle:
+class SettleClaim:
     """Effect: tell control what became of a claim until it confirms."""
 
     message: claim.ClaimFinish | claim.ClaimAbandon
@@ -210,7 +210,7 @@
 
 
 def wake_at(flow: Flow) -> float:
-    """Return when the flow next needs ``Due``."""
+    """Return when the flow next needs ``TimerDue``."""
     deadline_at = flow.asked.deadline_at
     match flow.state:
         case Claiming(ask_at=ask_at):
--- a/src/medlarfork/entry/entry_options.py
+++ b/src/medlarfork/entry/entry_options.py
@@ -27,11 +27,11 @@
         request_limit: Requests in progress at once.
         held_bytes_limit: Bytes of request bodies held at once.
         claim_resend_s: Pause before an unanswered claim request is sent again.
-        claim_patience_s: How long control may be silent before a claim is given up.
+        claim_timeout_s: How long control may be silent before a claim is given up.
         claim_poll_s: Pause before asking again for a claim that another request holds.
         ticket_resend_s: Pause before an unconfirmed ticket is sent again.
         ticket_refresh_s: Pause before a confirmed ticket that still waits is sent again.
-        owner_silence_s: How long an owner may be silent before the next one is asked.
+        owner_timeout_s: How long an owner may be silent before the next one is asked.
         retry_share: Retries allowed for each request, as a share of all requests of a service.
         retry_burst: Retries allowed at once beyond that share.
         attempts_limit: Dispatches of one request at most, those after a preemption aside.
@@ -52,11 +52,11 @@
     request_limit: int = 4096
     held_bytes_limit: int = 256 << 20
     claim_resend_s: float = 0.5
-    claim_patience_s: float = 2.0
+    claim_timeout_s: float = 2.0
     claim_poll_s: float = 0.5
     ticket_resend_s: float = 0.5
     ticket_refresh_s: float = 2.0
-    owner_silence_s: float = 1.0
+    owner_timeout_s: float = 1.0
     retry_share: float = 0.1
     retry_burst: float = 10.0
     attempts_limit: int = 4
--- a/src/medlarfork/entry/entry_pools.py
+++ b/src/medlarfork/entry/entry_pools.py
@@ -121,7 +121,7 @@
             told += self.handle(str(pool), node.TimeDue(), now)
         return tuple(told)
 
-    def entry_gone(self, entry_id: str, now: float) -> tuple[node.Send, ...]:
+    def entry_lost(self, entry_id: str, now: float) -> tuple[node.Send, ...]:
         """Tell every pool that an entry host is lost."""
         told: list[node.Send] = []
         for pool in tuple(self._pool_by_name):
--- a/src/medlarfork/entry/entry_program.py
+++ b/src/medlarfork/entry/entry_program.py
@@ -16,7 +16,7 @@
 from medlarfork.entry import (
     _peer_links,
     _upstream_gauges,
-    conversation,
+    caller_session,
     entry,
     entry_api,
     entry_flow,
@@ -51,8 +51,8 @@
     def __init__(self, given: entry_settings.EntrySettings) -> None:
         """Prepare the parts that need no address."""
         self._given = given
-        self._conversation_by_id: dict[str, conversation.Conversation] = {}
-        self._unwatched: collections.deque[conversation.Conversation] = collections.deque()
+        self._conversation_by_id: dict[str, caller_session.CallerSession] = {}
+        self._unwatched: collections.deque[caller_session.CallerSession] = collections.deque()
         self._replies_by_call: dict[str, curio.Queue] = {}
         self._drained = curio.Event()
         self._tasks: list[curio.Task] = []
@@ -65,7 +65,7 @@
             identity=given.entry_id,
             codec=wire.make_codec(),
             bind=given.link_address,
-            keys=keys.load_if_named(given.keys_folder, given.entry_id),
+            keys=keys.load_if_configured(given.keys_folder, given.entry_id),
         )
         self._peer_links = _peer_links.PeerLinks(self._link)
 
@@ -101,7 +101,7 @@
     async def drain(self) -> None:
         """Stop gracefully: return once nothing is in progress or owned here any more."""
         logs.event(_log, "draining")
-        await self._runner.post(entry_types.DrainAsked())
+        await self._runner.post(entry_types.DrainRequested())
         await self._drained.wait()
 
     async def close(self) -> None:
@@ -139,8 +139,8 @@
         def _status() -> Any:
             return self._node.status(time.monotonic())
 
-        def _one(value: float) -> list[telemetry.Reading]:
-            return [telemetry.Reading(value)]
+        def _one(value: float) -> list[telemetry.GaugeValue]:
+            return [telemetry.GaugeValue(value)]
 
         observe = self._metrics.observe
         observe(telemetry.Gauge.QUEUE_LENGTH, lambda: _one(_status().queued))
@@ -183,7 +183,7 @@
     async def _tell(self, request_id: str, action: Any) -> None:
         found = self._conversation_by_id.get(request_id)
         if found is not None:
-            await found.tell(action)
+            await found.enqueue_action(action)
 
     async def _cancel(self, attempt_id: str) -> None:
         found = self._conversation_by_id.get(entry_flow.request_id_of(attempt_id))
@@ -225,7 +225,7 @@
         raw = entry_types.RawRequest(
             request_id, head.method, head.path, head.query, head.headers, body
         )
-        held = conversation.Conversation(raw, exchange, time.monotonic())
+        held = caller_session.CallerSession(raw, exchange, time.monotonic())
         self._conversation_by_id[request_id] = held
         self._unwatched.append(held)
         try:
@@ -236,7 +236,7 @@
             if held.watcher is not None:
                 await held.watcher.cancel()
 
-    async def _carry_out(self, held: conversation.Conversation) -> None:
+    async def _carry_out(self, held: caller_session.CallerSession) -> None:
         while True:
             match await held.next_action():
                 case entry_types.Dispatch() as action:
@@ -259,7 +259,7 @@
                     return
 
     async def _start_attempt(
-        self, held: conversation.Conversation, action: entry_types.Dispatch
+        self, held: caller_session.CallerSession, action: entry_types.Dispatch
     ) -> None:
         await _join_attempt(held)
         attempt = upstream_attempt.UpstreamAttempt(action, held, self._client, self._runner.post)
@@ -275,12 +275,12 @@
                 if held.raw.request_id in self._conversation_by_id:
                     held.watcher = await curio.spawn(self._watch, held)
 
-    async def _watch(self, held: conversation.Conversation) -> None:
+    async def _watch(self, held: caller_session.CallerSession) -> None:
         await held.exchange.wait_caller_gone()
-        await held.tell(entry_types.CallerGone(held.raw.request_id))
+        await held.enqueue_action(entry_types.CallerGone(held.raw.request_id))
 
 
-async def _join_attempt(held: conversation.Conversation) -> None:
+async def _join_attempt(held: caller_session.CallerSession) -> None:
     """Wait until the attempt has reported its end."""
     if held.attempt is not None:
         with contextlib.suppress(curio.TaskError):
--- a/src/medlarfork/entry/entry_queries.py
+++ b/src/medlarfork/entry/entry_queries.py
@@ -23,7 +23,7 @@
 from medlarfork.filters import admit, answers, identify, parse
 from medlarfork.pool import pool_view
 
-_OTHERS_LIMIT = 4
+_MAX_ALTERNATIVES = 4
 """Other entry hosts named in a refusal."""
 
 
@@ -47,7 +47,7 @@
         self._directory = directory
         self._generator = generator
 
-    def standing(self, now: float, *, refusing: bool) -> admit.HostStatus:
+    def host_status(self, now: float, *, refusing: bool) -> admit.HostStatus:
         """Return how this host stands."""
         proven = self._session.is_proven(now)
         serve = self._options.unproven is entry_settings.UnprovenPolicy.SERVE
@@ -61,11 +61,11 @@
         self, raw: entry_types.RawRequest, now: float, *, named: bool
     ) -> entry_types.Answer:
         """Answer ``GET /v1/entries``; ``named`` says whether this host may be named."""
-        but = () if named and self._session.is_proven(now) else (self._entry_id,)
-        members = self._nameable(but)
+        exclude = () if named and self._session.is_proven(now) else (self._entry_id,)
+        members = self._nameable(exclude)
         # A host that can't vouch for itself is still better than none at all.
         members = members or self._nameable(())
-        data_centre = entries_answer.asked_data_centre(raw.query) or self._options.data_centre
+        data_centre = entries_answer.requested_data_centre(raw.query) or self._options.data_centre
         body = entries_answer.build(
             members,
             data_centre=data_centre,
@@ -145,8 +145,10 @@
     def _declared(self) -> configuration.Configuration:
         return self._session.configuration
 
-    def _nameable(self, but: tuple[str, ...]) -> tuple[member.Member, ...]:
-        return entries_answer.nameable(self._session.view, self._declared(), but=but)
+    def _nameable(self, exclude: tuple[str, ...]) -> tuple[member.Member, ...]:
+        return entries_answer.listable_members(
+            self._session.view, self._declared(), exclude=exclude
+        )
 
     def _others(self) -> tuple[str, ...]:
         members = self._nameable((self._entry_id,))
@@ -156,7 +158,7 @@
             lifetime_s=self._options.entries_lifetime_s,
             generator=self._generator,
         )
-        return tuple(entry.address for entry in body.entries[:_OTHERS_LIMIT])
+        return tuple(entry.address for entry in body.entries[:_MAX_ALTERNATIVES])
 
 
 def _upstream_status(
--- a/src/medlarfork/entry/entry_requests.py
+++ b/src/medlarfork/entry/entry_requests.py
@@ -21,10 +21,10 @@
 from medlarfork.filters import admit, deduplicate, retry_rules
 from medlarfork.pool import ownership
 
-_RELEASES_LIMIT = 20_000
+_MAX_RELEASES = 20_000
 """Most releases of slots whose receipt has not been confirmed."""
 
-_RELEASE_PATIENCE_S = 20.0
+_RELEASE_TIMEOUT_S = 20.0
 """How long a release is sent again, in seconds."""
 
 
@@ -53,7 +53,7 @@
         self._machine = flow_machine.FlowMachine(self)
         self._flow_by_id: dict[str, entry_flow.Flow] = {}
         self._timers = _timer_heap.TimerHeap[str]()
-        self._releases = _outbox.Outbox(limit=_RELEASES_LIMIT, patience_s=_RELEASE_PATIENCE_S)
+        self._releases = _outbox.Outbox(limit=_MAX_RELEASES, timeout_s=_RELEASE_TIMEOUT_S)
         self._claims = _claim_settlements.ClaimSettlements()
 
     def __len__(self) -> int:
@@ -91,14 +91,14 @@
         """Return whether control can't have given this host up as lost."""
         return self._session.holds_lease(now)
 
-    def begin(self, asked: request.Request, body_bytes: int, now: float) -> tuple[Any, ...]:
+    def start(self, asked: request.Request, body_bytes: int, now: float) -> tuple[Any, ...]:
         """Take an admitted request."""
         self._budgets.earn(asked.service)
         request_class = self._session.configuration.class_by_name[asked.class_name]
         state = entry_flow.Claiming(heard_at=now, ask_at=now)
         flow = entry_flow.Flow(asked, request_class, self._session.revision, body_bytes, state)
         self._flow_by_id[asked.request_id] = flow
-        return self._after(asked.request_id, self._machine.begin(flow, now), now)
+        return self._after(asked.request_id, self._machine.start(flow, now), now)
 
     def handle(self, request_id: str, event: Any, now: float) -> tuple[Any, ...]:
         """Apply an event to one request; without effect if it is not in progress any more."""
@@ -116,11 +116,11 @@
         """Apply what a pool's owner said of a ticket."""
         request_id = entry_flow.request_id_of(message.ticket_id)
         if request_id in self._flow_by_id:
-            return self.handle(request_id, entry_flow.FromPeer(sender, message), now)
+            return self.handle(request_id, entry_flow.PeerMessage(sender, message), now)
         if not isinstance(message, ticket.Grant):
             return ()
         release = ticket.Release(message.ticket_id, message.pool, ticket.ReleaseCause.UNUSED)
-        return self._give_back(sender, release, now)
+        return self._release_slot(sender, release, now)
 
     def on_claim_reply(self, reply: claim.ClaimReply, now: float) -> tuple[Any, ...]:
         """Apply control's answer to a claim request of this incarnation."""
@@ -148,7 +148,7 @@
         """Apply the timers that are due and resend what is not confirmed."""
         actions: list[Any] = []
         while (request_id := self._timers.pop_due(now)) is not None:
-            actions += self.handle(request_id, entry_flow.Due(), now)
+            actions += self.handle(request_id, entry_flow.TimerDue(), now)
         for pending in (*self._releases.take_due(now), *self._claims.take_due(now)):
             actions += self._to_leader(pending.message, pending.to)
         return tuple(actions)
@@ -165,19 +165,21 @@
 
     def _perform(self, effect: Any, now: float) -> Iterator[Any]:
         match effect:
-            case entry_flow.ToOwner(owner, message):
+            case entry_flow.SendToOwner(owner, message):
                 yield node.Send(owner, message)
-            case entry_flow.GiveBack(owner, release):
-                yield from self._give_back(owner, release, now)
-            case entry_flow.AskClaim(claim_request):
+            case entry_flow.ReleaseSlot(owner, release):
+                yield from self._release_slot(owner, release, now)
+            case entry_flow.SendClaimRequest(claim_request):
                 yield from self._to_leader(claim_request)
-            case entry_flow.Settle(message):
+            case entry_flow.SettleClaim(message):
                 self._claims.put(message, now)
                 yield from self._to_leader(message)
             case action:
                 yield action
 
-    def _give_back(self, owner: str, release: ticket.Release, now: float) -> tuple[node.Send, ...]:
+    def _release_slot(
+        self, owner: str, release: ticket.Release, now: float
+    ) -> tuple[node.Send, ...]:
         if owner != self.options.entry_id:
             self._releases.put((owner, release.ticket_id), owner, release, now)
         return (node.Send(owner, release),)
--- a/src/medlarfork/entry/entry_types.py
+++ b/src/medlarfork/entry/entry_types.py
@@ -110,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DrainAsked:
+class DrainRequested:
     """Event: the process was told to stop gracefully (SIGTERM)."""
 
 
--- a/src/medlarfork/entry/flow_surroundings.py
+++ b/src/medlarfork/entry/flow_context.py
@@ -7,7 +7,7 @@
 from medlarfork.entry import entry_options
 
 
-class Surroundings(Protocol):
+class FlowContext(Protocol):
     """Tell a request what it has to know of the entry host around it."""
 
     options: entry_options.EntryNodeOptions
--- a/src/medlarfork/entry/flow_machine.py
+++ b/src/medlarfork/entry/flow_machine.py
@@ -12,39 +12,39 @@
     _flow_stop,
     _flow_wait,
     entry_flow,
-    flow_surroundings,
+    flow_context,
 )
 
 
 class FlowMachine:
     """Apply events to flows; keeps nothing of its own."""
 
-    def __init__(self, surroundings: flow_surroundings.Surroundings) -> None:
+    def __init__(self, context: flow_context.FlowContext) -> None:
         """Work within the surroundings."""
-        self._around = surroundings
-        options = surroundings.options
+        self._context = context
+        options = context.options
         self._entry_id = options.entry_id
         self._incarnation = options.incarnation
 
-    def begin(self, flow: entry_flow.Flow, now: float) -> entry_flow.Step:
+    def start(self, flow: entry_flow.Flow, now: float) -> entry_flow.Step:
         """Claim a not-repeatable request first; queue any other."""
         if flow.asked.repeatable:
-            return _flow_wait.queue(flow, self._around, self._holder(flow), now)
+            return _flow_wait.queue(flow, self._context, self._holder(flow), now)
         flow = dataclasses.replace(flow, claimed=True)
-        return _flow_claim.ask(flow, self._around, self._holder(flow), now)
+        return _flow_claim.ask(flow, self._context, self._holder(flow), now)
 
     def handle(self, flow: entry_flow.Flow, event: Any, now: float) -> entry_flow.Step:
         """Apply one event; events that no longer concern the request change nothing."""
         holder = self._holder(flow)
         match flow.state:
             case entry_flow.Claiming() as state:
-                return _flow_claim.handle(flow, state, event, self._around, holder, now)
+                return _flow_claim.handle(flow, state, event, self._context, holder, now)
             case entry_flow.Waiting() as state:
-                return _flow_wait.handle(flow, state, event, self._around, holder, now)
+                return _flow_wait.handle(flow, state, event, self._context, holder, now)
             case entry_flow.Running() as state:
-                return _flow_run.handle(flow, state, event, self._around, holder, now)
+                return _flow_run.handle(flow, state, event, self._context, holder, now)
             case entry_flow.Stopping() as state:
-                return _flow_stop.handle(flow, state, event, self._around, holder, now)
+                return _flow_stop.handle(flow, state, event, self._context, holder, now)
 
     def _holder(self, flow: entry_flow.Flow) -> claim.Holder:
         return claim.Holder(self._entry_id, self._incarnation, flow.asked.request_id)
--- a/src/medlarfork/entry/inventory_reporter.py
+++ b/src/medlarfork/entry/inventory_reporter.py
@@ -28,11 +28,11 @@
         self._changed_by_id: dict[str, inventory.UpstreamNotice] = {}
         self._resends = False
 
-    def note(self, announcement: upstream.Announcement) -> None:
+    def observe(self, announcement: upstream.Announcement) -> None:
         """Take an announcement of an upstream whose pool is owned here."""
         upstream_id = announcement.upstream_id
         if announcement.state is upstream.UpstreamState.LEAVING:
-            self.forget(upstream_id)
+            self.remove(upstream_id)
             return
         notice = _notice(announcement)
         if self._reported_by_id.get(upstream_id) == notice:
@@ -40,27 +40,27 @@
         elif self._has_room(upstream_id):
             self._changed_by_id[upstream_id] = notice
 
-    def forget(self, upstream_id: str) -> None:
+    def remove(self, upstream_id: str) -> None:
         """Report an upstream as gone: its lease ended, or another host owns its pool."""
         self._changed_by_id.pop(upstream_id, None)
         reported = self._reported_by_id.get(upstream_id)
         if reported is not None:
             self._changed_by_id[upstream_id] = dataclasses.replace(reported, gone=True)
 
-    def keep(self, announcements: Iterable[upstream.Announcement]) -> None:
+    def retain_only(self, announcements: Iterable[upstream.Announcement]) -> None:
         """Report exactly these upstreams from now on, after pools have changed hands."""
         announcement_by_id = {each.upstream_id: each for each in announcements}
         for upstream_id in (*self._reported_by_id, *self._changed_by_id):
             if upstream_id not in announcement_by_id:
-                self.forget(upstream_id)
+                self.remove(upstream_id)
         for announcement in announcement_by_id.values():
-            self.note(announcement)
+            self.observe(announcement)
 
     def resend(self) -> None:
         """Report everything anew the next time: the leader lacks something."""
         self._resends = True
 
-    def take_reports(self) -> tuple[inventory.InventoryReport, ...]:
+    def pop_reports(self) -> tuple[inventory.InventoryReport, ...]:
         """Return what control has not been told yet; the caller sends it at once, in order."""
         if not self._changed_by_id and not self._resends:
             return ()
--- a/src/medlarfork/entry/pool_directory.py
+++ b/src/medlarfork/entry/pool_directory.py
@@ -16,10 +16,10 @@
 from medlarfork.entry import _timer_heap, entry_types
 from medlarfork.pool import ownership, pool_events
 
-_REMEMBERED = 20_000
+_MAX_TRACKED = 20_000
 """Upstreams whose last announcement's number is remembered; the longest silent go first."""
 
-_ADDRESSES_LIMIT = 6
+_MAX_ADDRESSES = 6
 """Entry hosts named to an upstream."""
 
 _PERIODS_PER_LEASE = 3
@@ -107,7 +107,9 @@
                 self._timers.set(upstream_id, lease.heard_at + declared.engine_lease_s)
         return tuple(actions)
 
-    def announce(self, announcement: upstream.Announcement, now: float) -> tuple[Any, ...]:
+    def handle_announcement(
+        self, announcement: upstream.Announcement, now: float
+    ) -> tuple[Any, ...]:
         """Take an announcement that an upstream made here."""
         if not self._is_news(announcement):
             return ()
@@ -118,7 +120,7 @@
             *self._pass_on(announcement, serving_hosts, 0.0),
         )
 
-    def seen(self, message: entry_types.UpstreamSeen, now: float) -> tuple[Any, ...]:
+    def handle_forwarded(self, message: entry_types.UpstreamSeen, now: float) -> tuple[Any, ...]:
         """Take an announcement that another entry host passed on."""
         age_s = max(message.age_s, 0.0)
         if age_s >= self._declared.engine_lease_s or not self._is_news(message.announcement):
@@ -139,7 +141,7 @@
         pool, _ = self._match(announcement)
         first = self._owned.owners(pool)
         others = (item.entry_id for item in view.members if item.entry_id not in first)
-        addresses = tuple(_addresses((*first, *others), view))[:_ADDRESSES_LIMIT]
+        addresses = tuple(_addresses((*first, *others), view))[:_MAX_ADDRESSES]
         lease_s = self._declared.engine_lease_s
         return upstream.AnnouncementReply(addresses, lease_s / _PERIODS_PER_LEASE, lease_s)
 
@@ -159,7 +161,7 @@
             announcement.incarnation, announcement.sequence, left
         )
         self._last_by_id.move_to_end(announcement.upstream_id)
-        if len(self._last_by_id) > _REMEMBERED:
+        if len(self._last_by_id) > _MAX_TRACKED:
             self._last_by_id.popitem(last=False)
         return True
 
--- a/src/medlarfork/entry/telemetry.py
+++ b/src/medlarfork/entry/telemetry.py
@@ -19,10 +19,10 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 """Content type of what ``Telemetry.render`` returns."""
 
-_HISTOGRAM_POINTS = 4096
+_MAX_HISTOGRAM_SERIES = 4096
 """Pairs of account and class with histograms of their own; further ones share one."""
 
-_COUNTER_POINTS = 16384
+_MAX_COUNTER_SERIES = 16384
 """Label sets of a counter that are counted apart; further ones share one."""
 
 NO_CODE = "none"
@@ -57,14 +57,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class GaugeValue:
     """Hold one value of a gauge."""
 
     value: float
     labels: dict[str, str] = dataclasses.field(default_factory=dict)
 
 
-ReadGauge = Callable[[], Iterable[Reading]]
+ReadGauge = Callable[[], Iterable[GaugeValue]]
 """Returns the present values of a gauge."""
 
 
@@ -89,7 +89,7 @@
         self._tokens = _make_tally("account", "class")
         self._wasted = _make_tally("account", "class", "cause")
         self._read_by_gauge: dict[Gauge, ReadGauge] = {}
-        self._readings_by_gauge: dict[Gauge, tuple[Reading, ...]] = {}
+        self._readings_by_gauge: dict[Gauge, tuple[GaugeValue, ...]] = {}
         self._rendering = curio.Lock()
 
     def observe(self, gauge: Gauge, read: ReadGauge) -> None:
@@ -158,7 +158,7 @@
         self._read_gauges()
         return prometheus_client.generate_latest(self._registry)
 
-    async def render_aside(self) -> bytes:
+    async def render_in_thread(self) -> bytes:
         """Return the same as ``render``, while other tasks go on; gauges are read here."""
         async with self._rendering:
             self._read_gauges()
@@ -177,11 +177,14 @@
 
 
 def _make_tally(*names: str) -> tally.Tally:
-    return tally.Tally(names, most=_COUNTER_POINTS - 1)
+    return tally.Tally(names, max_label_sets=_MAX_COUNTER_SERIES - 1)
 
 
 def _cardinality_limits() -> export.CardinalityLimits:
-    return {metrics.ObservableCounter: _COUNTER_POINTS, metrics.Histogram: _HISTOGRAM_POINTS}
+    return {
+        metrics.ObservableCounter: _MAX_COUNTER_SERIES,
+        metrics.Histogram: _MAX_HISTOGRAM_SERIES,
+    }
 
 
 def _make_histogram(meter: metrics_api.Meter, name: str, description: str) -> metrics_api.Histogram:
--- a/src/medlarfork/entry/upstream_attempt.py
+++ b/src/medlarfork/entry/upstream_attempt.py
@@ -10,16 +10,16 @@
 
 from medlarfork import claim, errors, logs, request
 from medlarfork.backpressure import upstream_signals
-from medlarfork.entry import conversation, entry_types
+from medlarfork.entry import caller_session, entry_types
 from medlarfork.filters import outgoing
 from medlarfork.http import header_names, http_client, sse
 
 _log = logging.getLogger(__name__)
 
-HOLD_BYTES = 64 << 10
+MAX_BUFFERED_BYTES = 64 << 10
 """Answers up to this size go out in one piece with their length; longer ones as they come."""
 
-STORED_BYTES = 16 << 10
+MAX_STORED_BYTES = 16 << 10
 """Largest answer that is kept for duplicates of a not-repeatable request, in bytes."""
 
 _TOO_MANY_REQUESTS = 429
@@ -31,7 +31,7 @@
     def __init__(
         self,
         dispatch: entry_types.Dispatch,
-        held: conversation.Conversation,
+        held: caller_session.CallerSession,
         client: http_client.HttpClient,
         post: Callable[[Any], Awaitable[None]],
     ) -> None:
@@ -51,8 +51,8 @@
             return
         try:
             ended = await self._exchange()
-        except errors.CallerGoneError:
-            await self._held.tell(entry_types.CallerGone(self._dispatch.request_id))
+        except errors.CallerDisconnectedError:
+            await self._held.enqueue_action(entry_types.CallerGone(self._dispatch.request_id))
             await self._wait_for_cancel()
             return
         except errors.RequestNotSentError as error:
@@ -105,15 +105,15 @@
         """Bring the answer's body to the caller."""
         held = self._held
         attempt_id = self._dispatch.attempt_id
-        held.begin_attempt(self._dispatch, response.status, response.headers)
+        held.start_response(self._dispatch, response.status, response.headers)
         streams = response.headers.get("content-type", "").startswith(sse.MEDIA_TYPE)
         at_once = streams and not self._dispatch.assemble
         while chunk := await response.next_chunk():
             if not at_once:
                 held.hold(attempt_id, chunk)
-                at_once = held.held_bytes > HOLD_BYTES
+                at_once = held.held_bytes > MAX_BUFFERED_BYTES
                 chunk = b""
-            if at_once and await held.pass_on(attempt_id, chunk):
+            if at_once and await held.forward(attempt_id, chunk):
                 await self._tell_started()
         held.check_end()
 
@@ -128,7 +128,7 @@
         if not self._dispatch.key:
             return None
         body = b"" if self._held.relayed else self._held.whole()
-        kept = not self._held.relayed and len(body) <= STORED_BYTES
+        kept = not self._held.relayed and len(body) <= MAX_STORED_BYTES
         content_type = self._held.content_type
         return claim.StoredAnswer(self._status, content_type, body if kept else b"", kept)
 
--- a/src/medlarfork/errors.py
+++ b/src/medlarfork/errors.py
@@ -107,7 +107,7 @@
     code = Code.BAD_REQUEST
 
 
-class CallerGoneError(HttpLimitError):
+class CallerDisconnectedError(HttpLimitError):
     """Report a caller that closed, reset or stopped reading its connection."""
 
 
--- a/src/medlarfork/filters/record.py
+++ b/src/medlarfork/filters/record.py
@@ -43,7 +43,7 @@
     code: str = "",
 ) -> entry_types.Record:
     """Return the record of a request that has its final answer."""
-    incoming = flow.asked
+    incoming = flow.request
     whole_s = now - incoming.arrived_at
     first_token_s = None
     if flow.first_byte_at is not None:
--- a/src/medlarfork/filters/relay.py
+++ b/src/medlarfork/filters/relay.py
@@ -105,7 +105,7 @@
         """
         self._requested_mode = Mode.ASSEMBLE if assemble else Mode.STREAM if stream else Mode.OPAQUE
         self._attempt = _Attempt("", 0, Mode.OPAQUE)
-        self._splitter = sse.Splitter()
+        self._splitter = sse.EventParser()
         self._assembled = assembled_answer.AssembledAnswer(limit_bytes=_ANSWER_BYTES)
         self._ended = False
         self.tokens = 0
@@ -147,7 +147,7 @@
         streams = headers.get("content-type", "").partition(";")[0].strip() == sse.MEDIA_TYPE
         mode = self._requested_mode if streams and status == 200 else Mode.OPAQUE
         self._attempt = _Attempt(attempt_id, resume_offset, mode)
-        self._splitter = sse.Splitter()
+        self._splitter = sse.EventParser()
         self._ended = False
         if resume_offset or relayed or self.relayed:
             self._check_resumption(headers)
--- a/src/medlarfork/gateway/crash_tracker.py
+++ b/src/medlarfork/gateway/crash_tracker.py
@@ -202,7 +202,7 @@
         self,
         upstream: upstream_types.Announcement,
         probe: _Probe,
-        reach: http_client.Reach,
+        reach: http_client.Reachability,
         broken_at: float,
     ) -> None:
         """Record a crash, or wait for a replacement if the upstream accepted the probe."""
@@ -214,7 +214,7 @@
             runs=len(probe.keys),
         )
         at_by_key = dict.fromkeys(probe.keys, broken_at)
-        if reach is http_client.Reach.ACCEPTS:
+        if reach is http_client.Reachability.ACCEPTS:
             self._await_replacement(upstream, at_by_key)
         else:
             # An unclear result counts as a crash, too: retries must end, and an answer clears it.
--- a/src/medlarfork/gateway/entry_session.py
+++ b/src/medlarfork/gateway/entry_session.py
@@ -145,7 +145,7 @@
     def shard_of(self, upstream: upstream_types.Announcement) -> placement_messages.Shard:
         """Return the current shard of an upstream."""
         first = self.resolve_shard(placement_messages.Shard(upstream.service))
-        index = rendezvous.jump(upstream.upstream_id, first.count)
+        index = rendezvous.jump_hash(upstream.upstream_id, first.count)
         return dataclasses.replace(first, index=index)
 
     def _sizes(self, service: str) -> dict[placement_messages.Shard, int]:
--- a/src/medlarfork/gateway/gateway_program.py
+++ b/src/medlarfork/gateway/gateway_program.py
@@ -105,11 +105,13 @@
         self._usage = self._make_usage_reporter() if settings.usage_window_s else None
         self._metrics = gateway_metrics.GatewayMetrics(self._gauges)
         self._handler = self._make_handler(names)
-        self._server = http_server.at_address(
+        self._server = http_server.create_server(
             self._handler.handle, settings.serve, CALLER_LIMITS, listening_socket
         )
         self._health = (
-            http_server.at_address(self._serve_health, settings.health) if settings.health else None
+            http_server.create_server(self._serve_health, settings.health)
+            if settings.health
+            else None
         )
         self._tasks = curio.TaskGroup()
 
--- a/src/medlarfork/gateway/request_handler.py
+++ b/src/medlarfork/gateway/request_handler.py
@@ -228,7 +228,7 @@
             except curio.TaskTimeout:
                 pipeline.end_ticket(placement_messages.RunEnd.CANCELLED)
                 await pipeline.time_out()
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             pipeline.record_caller_gone()
 
     async def _refuse(
--- a/src/medlarfork/http/_http_connection.py
+++ b/src/medlarfork/http/_http_connection.py
@@ -177,7 +177,7 @@
             await self.refuse(414, error)
             return None
         headers = _http_messages.decode_headers(lines)
-        problem = _find_fault(event, headers)
+        problem = _find_violation(event, headers)
         if problem:
             await self.refuse(400, errors.HttpLimitError(problem, remedy="Correct the request."))
             return None
@@ -219,7 +219,7 @@
             skipped += len(data)
 
 
-def _find_fault(event: h11.Request, headers: dict[str, str]) -> str:
+def _find_violation(event: h11.Request, headers: dict[str, str]) -> str:
     """Return what is wrong with a head that h11 accepts; empty if nothing is."""
     if "transfer-encoding" in headers and "content-length" in headers:
         # Two framings in one message are how requests are smuggled past a router.
--- a/src/medlarfork/http/_http_exchange.py
+++ b/src/medlarfork/http/_http_exchange.py
@@ -46,7 +46,7 @@
 class Exchange:
     """Read one request and write its answer; valid until the handler returns.
 
-    Every method that writes raises ``errors.CallerGoneError`` once the caller can't be reached.
+    Every method that writes raises ``errors.CallerDisconnectedError`` once the caller can't be reached.
 
     Attributes:
         head: The request's head.
@@ -69,7 +69,7 @@
     def __init__(
         self,
         head: RequestHead,
-        machine: h11.Connection,
+        connection: h11.Connection,
         stream: _http_stream.Stream,
         limits: _http_limits.HttpLimits,
     ) -> None:
@@ -78,7 +78,7 @@
         self.started = False
         self.finished = False
         self.aborted = False
-        self._h11 = machine
+        self._h11 = connection
         self._stream = stream
         self._limits = limits
         self._closing = False
@@ -140,7 +140,7 @@
             return
         self.finished = True
         self.aborted = True
-        await self._stream.cut()
+        await self._stream.reset()
 
     async def wait_caller_gone(self) -> None:
         """Return when the caller has closed its connection, reset it or stopped reading.
@@ -264,8 +264,8 @@
             raise _caller_gone() from error
 
 
-def _caller_gone() -> errors.CallerGoneError:
-    return errors.CallerGoneError(
+def _caller_gone() -> errors.CallerDisconnectedError:
+    return errors.CallerDisconnectedError(
         "The caller closed its connection or stopped reading.",
         remedy="Nothing needs to be done here; the caller may send its request again.",
     )
--- a/src/medlarfork/http/_http_pool.py
+++ b/src/medlarfork/http/_http_pool.py
@@ -15,9 +15,9 @@
 from curio import traps
 
 from medlarfork import errors
-from medlarfork.http import _http_answer, _http_stream
+from medlarfork.http import _http_response, _http_stream
 
-_SWEEP_S = 0.25
+_SWEEP_PERIOD_S = 0.25
 """How often deadlines of connections are checked, in seconds: half of the time by which idle ones
 are closed before their upstream does. Each check wakes the process."""
 
@@ -48,7 +48,7 @@
     unacknowledged_s: float = 0.0
 
 
-class Reach(enum.StrEnum):
+class Reachability(enum.StrEnum):
     """Say what an attempt to connect to an address met.
 
     A port that refuses has nobody who listens: its process has ended, or never began. Silence
@@ -64,8 +64,8 @@
 class _Idle:
     """Hold a connection until it is reused or has been idle for too long."""
 
-    connection: _http_answer.ClientConnection
-    until: float
+    connection: _http_response.ClientConnection
+    expires_at: float
 
 
 class ConnectionPool:
@@ -75,10 +75,10 @@
         """Make an empty pool."""
         self._limits = limits
         self._idle_by_address: dict[str, collections.deque[_Idle]] = {}
-        self._open: set[_http_answer.ClientConnection] = set()
+        self._open: set[_http_response.ClientConnection] = set()
         self._opening = 0
         self._closed = False
-        self._sweeper = _http_stream.Sweeper(_SWEEP_S, self._drop_old)
+        self._sweeper = _http_stream.Sweeper(_SWEEP_PERIOD_S, self._close_expired)
 
     @property
     def connections(self) -> int:
@@ -107,7 +107,7 @@
         for connection in self._open:
             connection.stream.expire()
 
-    async def take(self, address: str, give_up_at: float) -> _http_answer.ClientConnection:
+    async def take(self, address: str, deadline_at: float) -> _http_response.ClientConnection:
         """Return an idle connection that is alive, or a new one.
 
         Raises:
@@ -121,19 +121,19 @@
             if not connection.stream.is_dead():
                 return connection
             await connection.close()
-        return await self._open_new(address, give_up_at)
+        return await self._open_new(address, deadline_at)
 
-    async def reach(self, address: str, within_s: float) -> Reach:
+    async def reach(self, address: str, within_s: float) -> Reachability:
         """Connect to an address and say what that met; the connection is kept for reuse."""
         try:
             connection = await self._open_new(address, time.monotonic() + within_s)
         except errors.RequestNotSentError as error:
             refused = isinstance(error.__cause__, ConnectionRefusedError)
-            return Reach.REFUSES if refused else Reach.SILENT
+            return Reachability.REFUSES if refused else Reachability.SILENT
         await self.keep(connection)
-        return Reach.ACCEPTS
+        return Reachability.ACCEPTS
 
-    async def keep(self, connection: _http_answer.ClientConnection) -> None:
+    async def keep(self, connection: _http_response.ClientConnection) -> None:
         """Take a connection back that can carry another request."""
         kept = self._idle_by_address.setdefault(connection.address, collections.deque())
         if self._closed or len(kept) >= self._limits.idle_per_address:
@@ -147,28 +147,28 @@
             return
         kept.append(_Idle(connection, time.monotonic() + idle_s))
 
-    def forget(self, connection: _http_answer.ClientConnection) -> None:
+    def remove(self, connection: _http_response.ClientConnection) -> None:
         """Stop counting a connection that has been closed."""
         self._open.discard(connection)
         self._sweeper.discard(connection.stream)
 
-    async def _open_new(self, address: str, give_up_at: float) -> _http_answer.ClientConnection:
+    async def _open_new(self, address: str, deadline_at: float) -> _http_response.ClientConnection:
         if len(self._open) + self._opening >= self._limits.connections:
-            await self._drop_one_idle()
+            await self._close_one_idle()
         if len(self._open) + self._opening >= self._limits.connections:
             raise errors.RequestNotSentError(
                 f"All {self._limits.connections} connections to upstreams are in use.",
                 remedy="Send fewer requests at once, or raise the limit.",
                 code=errors.Code.OVERLOADED,
             )
-        within_s = min(self._limits.connect_s, give_up_at - time.monotonic())
+        within_s = min(self._limits.connect_s, deadline_at - time.monotonic())
         self._opening += 1
         try:
             connected = await _connect(address, within_s)
         finally:
             self._opening -= 1
         stream = _http_stream.Stream(connected, unacknowledged_s=self._limits.unacknowledged_s)
-        connection = _http_answer.ClientConnection(
+        connection = _http_response.ClientConnection(
             address,
             stream,
             self,
@@ -179,7 +179,7 @@
         self._sweeper.add(stream)
         return connection
 
-    async def _drop_one_idle(self) -> None:
+    async def _close_one_idle(self) -> None:
         """Make room by closing a connection that nobody uses."""
         for address, kept in self._idle_by_address.items():
             oldest = kept.popleft()
@@ -188,11 +188,11 @@
             await oldest.connection.close()
             return
 
-    async def _drop_old(self) -> None:
+    async def _close_expired(self) -> None:
         now = time.monotonic()
         for address in list(self._idle_by_address):
             kept = self._idle_by_address.get(address)
-            while kept and kept[0].until <= now:
+            while kept and kept[0].expires_at <= now:
                 await kept.popleft().connection.close()
             if kept is not None and not kept:
                 self._idle_by_address.pop(address, None)
--- a/src/medlarfork/http/_http_answer.py
+++ b/src/medlarfork/http/_http_response.py
@@ -12,7 +12,7 @@
 from medlarfork import errors
 from medlarfork.http import _http_messages, _http_stream
 
-_MOST_INFORMATIONAL = 8
+_MAX_INFORMATIONAL = 8
 """Informational answers accepted before the real one."""
 
 
@@ -30,7 +30,7 @@
     async def keep(self, connection: ClientConnection) -> None:
         """Take a connection that can carry another request."""
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """Stop counting a connection that has been closed."""
 
 
@@ -74,23 +74,23 @@
         self.idle_s = math.inf
         self._pool = pool
         self._broken = False
-        self._spent = True  # Whether h11 has nothing left to make an event of.
+        self._needs_data = True  # Whether h11 has nothing left to make an event of.
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=header_bytes)
 
-    async def exchange(self, head: h11.Request, body: bytes, give_up_at: float) -> Response:
+    async def exchange(self, head: h11.Request, body: bytes, deadline_at: float) -> Response:
         """Send a request and return its answer once the head of that is in.
 
         Raises:
             errors.RequestNotSentError: If no byte of the request left.
             errors.UpstreamError: If the exchange failed after that.
         """
-        self.stream.deadline_at = give_up_at
+        self.stream.deadline_at = deadline_at
         data = self._h11.send(head)
         if body:
             data += self._h11.send(h11.Data(data=body))
         data += self._h11.send(h11.EndOfMessage())
         await self._send(data)
-        self._spent = True
+        self._needs_data = True
         response = await self._read_head()
         headers = _http_messages.decode_headers(response.headers)
         framed = _is_framed(head, response, headers)
@@ -111,14 +111,14 @@
 
     def buffered_event(self) -> h11.Event | None:
         """Return the next event that needs no further bytes, if any."""
-        if self._spent:
+        if self._needs_data:
             return None
         try:
             event = self._h11.next_event()
         except h11.RemoteProtocolError as error:
             raise self.failure(f"it ended or broke HTTP/1.1 ({error})") from error
-        self._spent = event is h11.NEED_DATA
-        return None if self._spent else event
+        self._needs_data = event is h11.NEED_DATA
+        return None if self._needs_data else event
 
     async def release(self) -> None:
         """Give the connection back after a whole answer, or close it if it can't be reused."""
@@ -141,15 +141,15 @@
         """Close the connection."""
         if not self.closed:
             self.closed = True
-            self._pool.forget(self)
+            self._pool.remove(self)
             await self.stream.close()
 
-    async def cut(self) -> None:
+    async def reset(self) -> None:
         """Reset the connection, so that the upstream stops its work."""
         if not self.closed:
             self.closed = True
-            self._pool.forget(self)
-            await self.stream.cut()
+            self._pool.remove(self)
+            await self.stream.reset()
 
     def failure(self, why: str) -> errors.UpstreamError:
         """Return the error for an exchange that failed after its request was sent."""
@@ -175,7 +175,7 @@
             self._broken = True  # It may have answered before it had read everything.
 
     async def _read_head(self) -> h11.Response:
-        for _ in range(_MOST_INFORMATIONAL):
+        for _ in range(_MAX_INFORMATIONAL):
             event = await self.next_event()
             if isinstance(event, h11.Response):
                 return event
@@ -194,7 +194,7 @@
 
     def _feed(self, data: bytes) -> None:
         self._h11.receive_data(data)
-        self._spent = False
+        self._needs_data = False
 
     def _timed_out(self) -> errors.UpstreamError:
         return errors.UpstreamError(
@@ -211,7 +211,7 @@
         status: HTTP status.
         headers: Header values by lower-case name.
         framed: False if only the connection's end can tell where the body ends.
-        whole: Whether the body's proper end has been seen.
+        complete: Whether the body's proper end has been seen.
     """
 
     __slots__ = ("_connection", "framed", "headers", "status", "whole")
@@ -224,7 +224,7 @@
         self.status = status
         self.headers = headers
         self.framed = framed
-        self.whole = False
+        self.complete = False
 
     async def read(self) -> bytes:
         """Return the whole body.
@@ -238,7 +238,7 @@
             parts.append(part)
             size += len(part)
             if size > self._connection.body_bytes:
-                await self._connection.cut()
+                await self._connection.reset()
                 raise errors.UpstreamError(
                     f"The answer is longer than {self._connection.body_bytes} bytes.",
                     remedy="Raise the limit, or ask the upstream for less.",
@@ -260,18 +260,18 @@
         Raises:
             errors.UpstreamError: If the connection ends before that.
         """
-        if self.whole:
+        if self.complete:
             return b""
         try:
             return await self._next_chunk()
         except BaseException:
-            await self._connection.cut()
+            await self._connection.reset()
             raise
 
     async def close(self) -> None:
         """Cut the connection if the body was not read to its end."""
-        if not self.whole:
-            await self._connection.cut()
+        if not self.complete:
+            await self._connection.reset()
 
     async def _next_chunk(self) -> bytes:
         """Join what one read brought, so that many small chunks cost one write further on."""
@@ -282,7 +282,7 @@
             event = self._connection.buffered_event()
         if isinstance(event, h11.EndOfMessage):
             self._check_end()
-            self.whole = True
+            self.complete = True
             await self._connection.release()
         elif event is not None:
             raise self._connection.failure("it closed in the middle of its answer")
--- a/src/medlarfork/http/_http_stream.py
+++ b/src/medlarfork/http/_http_stream.py
@@ -208,7 +208,7 @@
         await traps._io_release(self._descriptor)
         self._socket.close()
 
-    async def cut(self) -> None:
+    async def reset(self) -> None:
         """Reset the connection, so that the peer sees a failure and not an end."""
         # The option fails where the peer has already reset the connection.
         with contextlib.suppress(OSError):
@@ -228,10 +228,12 @@
     late.
     """
 
-    def __init__(self, period_s: float, also: Callable[[], Awaitable[None]] | None = None) -> None:
-        """Sweep every ``period_s`` seconds and call ``also`` each time."""
+    def __init__(
+        self, period_s: float, on_sweep: Callable[[], Awaitable[None]] | None = None
+    ) -> None:
+        """Sweep every ``period_s`` seconds and call ``on_sweep`` each time."""
         self._period_s = period_s
-        self._also = also
+        self._on_sweep = on_sweep
         self._streams: set[Stream] = set()
         self._task: curio.Task | None = None
 
@@ -257,8 +259,8 @@
         while True:
             await curio.sleep(self._period_s)
             self._expire_due(time.monotonic())
-            if self._also is not None:
-                await self._also()
+            if self._on_sweep is not None:
+                await self._on_sweep()
 
     def _expire_due(self, now: float) -> None:
         for stream in self._streams:
--- a/src/medlarfork/http/http_client.py
+++ b/src/medlarfork/http/http_client.py
@@ -9,11 +9,11 @@
 import h11
 
 from medlarfork import errors
-from medlarfork.http import _http_answer, _http_messages, _http_pool
+from medlarfork.http import _http_messages, _http_pool, _http_response
 
-Response = _http_answer.Response
+Response = _http_response.Response
 ClientLimits = _http_pool.ClientLimits
-Reach = _http_pool.Reach
+Reachability = _http_pool.Reachability
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 """Methods whose requests state a length even if it is 0."""
@@ -57,7 +57,7 @@
         """Close idle connections and end exchanges in progress."""
         await self._pool.close()
 
-    async def reach(self, address: str, *, within_s: float) -> Reach:
+    async def reach(self, address: str, *, within_s: float) -> Reachability:
         """Say whether anybody listens at ``http://IP:PORT``, in ``within_s`` seconds at most."""
         return await self._pool.reach(address, within_s)
 
@@ -89,8 +89,8 @@
             errors.UpstreamError: If the exchange failed after that.
         """
         outgoing = _prepare(address, method, target, headers, body)
-        give_up_at = time.monotonic() + (timeout_s or self._limits.exchange_s)
-        connection = await self._pool.take(address, give_up_at)
+        deadline_at = time.monotonic() + (timeout_s or self._limits.exchange_s)
+        connection = await self._pool.take(address, deadline_at)
         if may_send is not None and not may_send():
             await self._pool.keep(connection)
             raise errors.RequestWithdrawnError(
@@ -98,9 +98,9 @@
                 remedy="Send it elsewhere.",
             )
         try:
-            return await connection.exchange(outgoing.head, outgoing.body, give_up_at)
+            return await connection.exchange(outgoing.head, outgoing.body, deadline_at)
         except BaseException:
-            await connection.cut()
+            await connection.reset()
             raise
 
 
--- a/src/medlarfork/http/http_server.py
+++ b/src/medlarfork/http/http_server.py
@@ -25,16 +25,16 @@
 Handler = _http_connection.Handler
 FaultReporter = _http_connection.FaultReporter
 
-_REFUSALS = 64
+_MAX_REFUSALS = 64
 """Connections beyond the limit that are told so at once; further ones are just closed."""
 
 _ACCEPT_RETRY_S = 0.1
 """Pause after the system refused a descriptor, in seconds."""
 
-_LONGEST_SWEEP_S = 0.25
+_MAX_SWEEP_PERIOD_S = 0.25
 """Deadlines are met at most this late, in seconds."""
 
-_SHORTEST_SWEEP_S = 0.01
+_MIN_SWEEP_PERIOD_S = 0.01
 """Deadlines are checked at most this often, in seconds."""
 
 _log = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
         port: int,
         limits: HttpLimits = HttpLimits(),  # noqa: B008 - frozen
         report: FaultReporter = _log_fault,
-        opened: socket.socket | None = None,
+        listening: socket.socket | None = None,
     ) -> None:
         """Wire the server.
 
@@ -65,10 +65,10 @@
             port: TCP port; 0 lets the system choose.
             limits: What callers may use.
             report: Is told of exceptions that the handler did not expect.
-            opened: Socket that listens at the address already (see ``listener``).
+            listening: Socket that listens at the address already (see ``listener``).
         """
         self._handler = handler
-        self._opened = opened
+        self._listening = listening
         self._host = host
         self._port = port
         self._limits = limits
@@ -78,7 +78,7 @@
         self._task_by_connection: dict[_http_connection.Connection, curio.Task] = {}
         self._refusal_by_connection: dict[_http_connection.Connection, curio.Task] = {}
         self._exchanges = 0
-        self._none_left = curio.Event()
+        self._all_closed = curio.Event()
         self._sweeper = _http_stream.Sweeper(_sweep_period(limits))
 
     @property
@@ -103,11 +103,11 @@
         Raises:
             errors.SettingsError: If the address can't be listened on.
         """
-        opened = self._opened or listener.open_at(self._host, self._port)
-        self._port = opened.getsockname()[1]
-        self._listener = opened
+        listening = self._listening or listener.open_at(self._host, self._port)
+        self._port = listening.getsockname()[1]
+        self._listener = listening
         await self._sweeper.start()
-        self._acceptor = await curio.spawn(self._accept, opened, daemon=True)
+        self._acceptor = await curio.spawn(self._accept, listening, daemon=True)
 
     async def close(self, *, within_s: float) -> None:
         """Stop accepting, let exchanges in progress finish, and cut what is left.
@@ -120,8 +120,8 @@
         for connection in list(self._task_by_connection):
             connection.close_when_done()
         while self._task_by_connection and time.monotonic() < cut_at:
-            self._none_left.clear()
-            await curio.ignore_after(cut_at - time.monotonic(), self._none_left.wait)
+            self._all_closed.clear()
+            await curio.ignore_after(cut_at - time.monotonic(), self._all_closed.wait)
         left = [*self._task_by_connection.values(), *self._refusal_by_connection.values()]
         for task in left:
             await task.cancel()
@@ -140,24 +140,24 @@
         self._listener.close()
         self._listener = None
 
-    async def _accept(self, opened: socket.socket) -> None:
+    async def _accept(self, listening: socket.socket) -> None:
         while True:
             try:
-                while await self._accept_one(opened):
+                while await self._accept_one(listening):
                     pass
-                await traps._read_wait(opened)
+                await traps._read_wait(listening)
             except OSError as error:
                 _log.error("can't accept: %s", error)
                 await curio.sleep(_ACCEPT_RETRY_S)
 
-    async def _accept_one(self, opened: socket.socket) -> bool:
+    async def _accept_one(self, listening: socket.socket) -> bool:
         """Take a connection from the backlog; return whether there may be more.
 
         Raises:
             OSError: If the system has no descriptor left.
         """
         try:
-            accepted, _ = opened.accept()
+            accepted, _ = listening.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except ConnectionError:
@@ -193,7 +193,7 @@
             self._sweeper.discard(connection.stream)
             self._task_by_connection.pop(connection, None)
             if not self._task_by_connection:
-                await self._none_left.set()
+                await self._all_closed.set()
 
     async def _handle(self, exchange: Exchange) -> None:
         self._exchanges += 1
@@ -203,8 +203,8 @@
             self._exchanges -= 1
 
     async def _refuse(self, connection: _http_connection.Connection) -> None:
-        if len(self._refusal_by_connection) >= _REFUSALS:
-            await connection.stream.cut()
+        if len(self._refusal_by_connection) >= _MAX_REFUSALS:
+            await connection.stream.reset()
             return
         task = await curio.spawn(self._run_refusal, connection, daemon=True)
         self._refusal_by_connection[connection] = task
@@ -225,17 +225,17 @@
             await connection.stream.close()
 
 
-def at_address(
+def create_server(
     handler: Handler,
     address: str,
     limits: HttpLimits = HttpLimits(),  # noqa: B008 - frozen
-    opened: socket.socket | None = None,
+    listening: socket.socket | None = None,
 ) -> HttpServer:
     """Return a server for ``IP:PORT``, as settings give addresses."""
     host, _, port = address.rpartition(":")
-    return HttpServer(handler, host=host, port=int(port), limits=limits, opened=opened)
+    return HttpServer(handler, host=host, port=int(port), limits=limits, listening=listening)
 
 
 def _sweep_period(limits: HttpLimits) -> float:
     shortest = min(limits.header_s, limits.body_s, limits.idle_s, limits.stall_s, limits.linger_s)
-    return min(max(shortest / 4, _SHORTEST_SWEEP_S), _LONGEST_SWEEP_S)
+    return min(max(shortest / 4, _MIN_SWEEP_PERIOD_S), _MAX_SWEEP_PERIOD_S)
--- a/src/medlarfork/http/sse.py
+++ b/src/medlarfork/http/sse.py
@@ -15,7 +15,7 @@
 
 _LINE_FEED = b"\n"
 _CARRIAGE_RETURN = b"\r"
-_EVENT_BYTES = 1 << 20
+_MAX_EVENT_BYTES = 1 << 20
 """Longest event that is accepted, in bytes."""
 
 _PLAIN_EVENT = re.compile(rb"(?:id: ([^\r\n]+)\n)?data: ([^\r\n]*)\n\n")
@@ -37,26 +37,26 @@
     plain: bytes = dataclasses.field(default=b"", compare=False, repr=False)
 
 
-class Splitter:
+class EventParser:
     """Turn bytes into events; holds at most the bytes of one event."""
 
-    def __init__(self, *, event_bytes: int = _EVENT_BYTES) -> None:
+    def __init__(self, *, event_bytes: int = _MAX_EVENT_BYTES) -> None:
         """Start at the beginning of a stream.
 
         Args:
             event_bytes: Largest event, in bytes.
         """
         self._event_bytes = event_bytes
-        self._rest = bytearray()
-        self._searched = 0
+        self._buffer = bytearray()
+        self._scanned = 0
         self._data: list[str] = []
         self._id = ""
-        self._held = 0
+        self._event_size = 0
 
     @property
     def pending(self) -> bool:
         """Return whether an event has begun and not ended; it would be cut if the stream ended."""
-        return bool(self._rest or self._data)
+        return bool(self._buffer or self._data)
 
     def feed(self, data: bytes) -> tuple[Event, ...]:
         """Return the events that these bytes complete.
@@ -65,23 +65,23 @@
             errors.UpstreamError: An event is too large or not UTF-8.
         """
         events: list[Event] = []
-        if not self._held and not self._rest:
-            data = data[self._take_plain(data, events) :]
+        if not self._event_size and not self._buffer:
+            data = data[self._parse_plain(data, events) :]
             if not data:
                 return tuple(events)
-        self._rest += data
+        self._buffer += data
         start = 0
-        while (end := self._rest.find(_LINE_FEED, max(start, self._searched))) >= 0:
-            event = self._take_line(bytes(self._rest[start:end]).removesuffix(_CARRIAGE_RETURN))
+        while (end := self._buffer.find(_LINE_FEED, max(start, self._scanned))) >= 0:
+            event = self._parse_line(bytes(self._buffer[start:end]).removesuffix(_CARRIAGE_RETURN))
             if event is not None:
                 events.append(event)
             start = end + 1
-        del self._rest[:start]
-        self._searched = len(self._rest)
-        self._check_size(self._held + len(self._rest))
+        del self._buffer[:start]
+        self._scanned = len(self._buffer)
+        self._check_size(self._event_size + len(self._buffer))
         return tuple(events)
 
-    def _take_plain(self, data: bytes, events: list[Event]) -> int:
+    def _parse_plain(self, data: bytes, events: list[Event]) -> int:
         """Add the plain events that the bytes begin with, and return where these end."""
         end = 0
         while (found := _PLAIN_EVENT.match(data, end)) is not None:
@@ -92,11 +92,11 @@
             end += len(plain)
         return end
 
-    def _take_line(self, line: bytes) -> Event | None:
+    def _parse_line(self, line: bytes) -> Event | None:
         if not line:
-            return self._end_event()
-        self._held += len(line)
-        self._check_size(self._held)
+            return self._finish_event()
+        self._event_size += len(line)
+        self._check_size(self._event_size)
         name, _, value = _decode(line).partition(":")
         value = value.removeprefix(" ")
         if name == "data":
@@ -105,9 +105,9 @@
             self._id = value
         return None
 
-    def _end_event(self) -> Event | None:
+    def _finish_event(self) -> Event | None:
         data, event_id = self._data, self._id
-        self._data, self._id, self._held = [], "", 0
+        self._data, self._id, self._event_size = [], "", 0
         return Event("\n".join(data), event_id) if data else None
 
     def _check_size(self, size: int) -> None:
--- a/src/medlarfork/links/_link_sockets.py
+++ b/src/medlarfork/links/_link_sockets.py
@@ -27,11 +27,11 @@
         route_limit: Peers that can be answered without a connection of our own.
         socket_limit: Sockets at once; bounds the peers connected to.
         heartbeat_s: Time between heartbeats on each connection, in seconds.
-        silence_s: Silence after which a connection is given up, in seconds; a peer that takes
+        idle_timeout_s: Silence after which a connection is given up, in seconds; a peer that takes
             nothing for so long is silent too.
         reconnect_s: First wait before a reconnect, in seconds.
-        reconnect_limit_s: Longest wait before a reconnect, in seconds.
-        connect_s: Time after which an attempt to connect is given up and a new one begun, in
+        max_reconnect_s: Longest wait before a reconnect, in seconds.
+        connect_timeout_s: Time after which an attempt to connect is given up and a new one begun, in
             seconds. The system repeats a lost opening packet after 1, 2, 4 and more seconds, so
             an attempt that began while the network was cut ends long after it is whole again.
         linger_s: How long ``close`` may wait for messages that have just been sent, in seconds.
@@ -42,10 +42,10 @@
     route_limit: int = 4096
     socket_limit: int = 4096
     heartbeat_s: float = 2.0
-    silence_s: float = 6.0
+    idle_timeout_s: float = 6.0
     reconnect_s: float = 0.1
-    reconnect_limit_s: float = 2.0
-    connect_s: float = 2.0
+    max_reconnect_s: float = 2.0
+    connect_timeout_s: float = 2.0
     linger_s: float = 0.1
 
 
@@ -90,7 +90,7 @@
         """
         server_key = None if own is None else _server_key(own, peer_id)
         socket = self._open(zmq.DEALER, own)
-        socket.routing_id = _new_route(identity)
+        socket.routing_id = _new_routing_id(identity)
         socket.immediate = 1
         if server_key is not None:
             socket.curve_serverkey = server_key
@@ -109,14 +109,14 @@
         socket.rcvhwm = options.queue_limit
         socket.maxmsgsize = options.message_bytes
         socket.heartbeat_ivl = _milliseconds(options.heartbeat_s)
-        socket.heartbeat_timeout = _milliseconds(options.silence_s)
-        socket.heartbeat_ttl = _milliseconds(options.silence_s)
+        socket.heartbeat_timeout = _milliseconds(options.idle_timeout_s)
+        socket.heartbeat_ttl = _milliseconds(options.idle_timeout_s)
         # A refused peer is cut only when the handshake times out, and then tries again.
-        socket.handshake_ivl = _milliseconds(options.silence_s)
+        socket.handshake_ivl = _milliseconds(options.idle_timeout_s)
         socket.tcp_keepalive = 1
-        socket.connect_timeout = _milliseconds(options.connect_s)
+        socket.connect_timeout = _milliseconds(options.connect_timeout_s)
         socket.reconnect_ivl = _milliseconds(options.reconnect_s)
-        socket.reconnect_ivl_max = _milliseconds(options.reconnect_limit_s)
+        socket.reconnect_ivl_max = _milliseconds(options.max_reconnect_s)
         if own is not None:
             socket.curve_publickey = own.public
             socket.curve_secretkey = own.secret
@@ -133,7 +133,7 @@
     return known
 
 
-def _new_route(identity: str) -> bytes:
+def _new_routing_id(identity: str) -> bytes:
     """Return a routing id for one connection.
 
     Its random part is known to this peer only, so that no other holder of a key can take the
--- a/src/medlarfork/links/_zap.py
+++ b/src/medlarfork/links/_zap.py
@@ -6,7 +6,7 @@
 import zmq
 import zmq.utils.z85
 
-from medlarfork.links import _zmq_wait
+from medlarfork.links import _zmq_poller
 
 ZAP_ADDRESS = "inproc://zeromq.zap.01"
 """Where ZeroMQ asks its context's authenticator."""
@@ -37,11 +37,11 @@
         self._context = context
         self._name_by_public: dict[bytes, str] = {}
         self._socket: zmq.Socket | None = None
-        self._waiter: _zmq_wait.ZmqWait | None = None
+        self._poller: _zmq_poller.ZmqPoller | None = None
         self._task: curio.Task | None = None
-        self.use_keys(public_by_name)
+        self.update_keys(public_by_name)
 
-    def use_keys(self, public_by_name: dict[str, bytes]) -> None:
+    def update_keys(self, public_by_name: dict[str, bytes]) -> None:
         """Let in these keys from now on."""
         self._name_by_public = {public: name for name, public in public_by_name.items()}
 
@@ -50,18 +50,18 @@
         self._socket = self._context.socket(zmq.REP)
         self._socket.linger = 0
         self._socket.bind(ZAP_ADDRESS)
-        self._waiter = _zmq_wait.ZmqWait()
-        self._waiter.add(self._socket)
+        self._poller = _zmq_poller.ZmqPoller()
+        self._poller.add(self._socket)
         self._task = await curio.spawn(self._serve, daemon=True)
 
     async def close(self) -> None:
         """Stop answering and close the socket."""
-        if self._task is None or self._waiter is None or self._socket is None:
+        if self._task is None or self._poller is None or self._socket is None:
             return
         await self._task.cancel()
         self._task = None
-        self._waiter.remove(self._socket)
-        self._waiter.close()
+        self._poller.remove(self._socket)
+        self._poller.close()
         self._socket.close()
 
     def answer(self, frames: list[bytes]) -> list[bytes]:
@@ -81,10 +81,10 @@
         return self._name_by_public.get(zmq.utils.z85.encode(frames[_KEY_AT]))
 
     async def _serve(self) -> None:
-        assert self._waiter is not None
+        assert self._poller is not None
         while True:
-            for ready in await self._waiter.wait():
+            for ready in await self._poller.wait():
                 ready.send_multipart(self.answer(ready.recv_multipart(zmq.NOBLOCK)))
                 # The next question may have arrived with the edge that the send used up.
-                self._waiter.mark(ready)
+                self._poller.mark_pending(ready)
             await curio.sleep(0)
--- a/src/medlarfork/links/_zmq_wait.py
+++ b/src/medlarfork/links/_zmq_poller.py
@@ -3,7 +3,7 @@
 A ZeroMQ socket's file descriptor is edge-triggered: it becomes readable when something changes,
 and reading ``zmq.EVENTS`` or sending may use that edge up. One task therefore waits for all
 sockets of a link through one selector, always reads ``zmq.EVENTS`` before it sleeps, and is told
-by ``mark`` of a socket whose edge a send has used up.
+by ``mark_pending`` of a socket whose edge a send has used up.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 """The library's own constant takes several times as long to compare with."""
 
 
-class ZmqWait:
+class ZmqPoller:
     """Collect the sockets that have something to receive; one task calls ``wait``."""
 
     def __init__(self) -> None:
-        """Open the selector and the pair that ``mark`` wakes the waiting task with."""
+        """Open the selector and the pair that ``mark_pending`` wakes the waiting task with."""
         self._selector = selectors.DefaultSelector()
         self._wake_reader, self._wake_writer = socket.socketpair()
         self._wake_reader.setblocking(False)
@@ -44,14 +44,14 @@
     def add(self, zmq_socket: zmq.Socket) -> None:
         """Watch a socket from now on."""
         self._selector.register(zmq_socket.FD, selectors.EVENT_READ, zmq_socket)
-        self.mark(zmq_socket)
+        self.mark_pending(zmq_socket)
 
     def remove(self, zmq_socket: zmq.Socket) -> None:
         """Stop watching a socket; call it before the socket is closed."""
         self._selector.unregister(zmq_socket.FD)
         self._marked.pop(zmq_socket.FD, None)
 
-    def mark(self, zmq_socket: zmq.Socket) -> None:
+    def mark_pending(self, zmq_socket: zmq.Socket) -> None:
         """Have the waiting task look at a socket again, whatever its descriptor says."""
         if not self._marked:
             # A full pair already holds a wake-up that has not been read.
--- a/src/medlarfork/links/keys.py
+++ b/src/medlarfork/links/keys.py
@@ -72,7 +72,7 @@
         return cls(name, public, secret, public_by_name)
 
 
-def load_if_named(folder: str, name: str) -> LinkKeys | None:
+def load_if_configured(folder: str, name: str) -> LinkKeys | None:
     """Load keys as ``LinkKeys.load`` does; None if no folder is named: no authentication then.
 
     Raises:
--- a/src/medlarfork/links/link.py
+++ b/src/medlarfork/links/link.py
@@ -18,7 +18,7 @@
 import zmq
 
 from medlarfork import codec, errors, node
-from medlarfork.links import _link_sockets, _zap, _zmq_wait, keys
+from medlarfork.links import _link_sockets, _zap, _zmq_poller, keys
 
 _BATCH = 64
 """Most messages taken from one socket before the others get their turn."""
@@ -106,7 +106,7 @@
         self._sockets: _link_sockets.LinkSockets | None = None
         self._router: zmq.Socket | None = None
         self._zap: _zap.ZapServer | None = None
-        self._waiter: _zmq_wait.ZmqWait | None = None
+        self._poller: _zmq_poller.ZmqPoller | None = None
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
@@ -118,7 +118,7 @@
         self._context = zmq.Context()
         self._context.max_sockets = self._options.socket_limit
         self._sockets = _link_sockets.LinkSockets(self._context, self._options)
-        self._waiter = _zmq_wait.ZmqWait()
+        self._poller = _zmq_poller.ZmqPoller()
         if self._keys is not None:
             self._zap = _zap.ZapServer(self._context, self._keys.public_by_name)
             await self._zap.start()
@@ -130,7 +130,7 @@
                 f"The link address {self._bind} can't be listened on: {error}.",
                 remedy="Choose a free port on an IP number of this host.",
             ) from error
-        self._waiter.add(self._router)
+        self._poller.add(self._router)
         self._task = await curio.spawn(self._receive_all, daemon=True)
 
     async def close(self) -> None:
@@ -145,9 +145,9 @@
             self._router = None
         if self._zap is not None:
             await self._zap.close()
-        if self._waiter is not None:
-            self._waiter.close()
-            self._waiter = None
+        if self._poller is not None:
+            self._poller.close()
+            self._poller = None
         if self._context is not None:
             self._context.term()
             self._context = None
@@ -181,7 +181,7 @@
         old = self._peer_by_id.get(peer_id)
         if old is not None and old.address == address:
             return True
-        if self._sockets is None or self._waiter is None:
+        if self._sockets is None or self._poller is None:
             return False
         try:
             socket = self._sockets.open_dealer(self._identity, peer_id, address, self._keys)
@@ -191,7 +191,7 @@
         peer = _Peer(peer_id, address, socket)
         self._peer_by_id[peer_id] = peer
         self._peer_by_socket[socket] = peer
-        self._waiter.add(socket)
+        self._poller.add(socket)
         return True
 
     def disconnect(self, peer_id: str) -> None:
@@ -201,12 +201,12 @@
             del self._peer_by_socket[peer.socket]
             self._close_socket(peer.socket)
 
-    def use_keys(self, known: keys.LinkKeys) -> None:
+    def update_keys(self, known: keys.LinkKeys) -> None:
         """Use a newly loaded set of known keys; own keys stay as they are."""
         if self._keys is None or self._zap is None:
             return
         self._keys = dataclasses.replace(self._keys, public_by_name=known.public_by_name)
-        self._zap.use_keys(known.public_by_name)
+        self._zap.update_keys(known.public_by_name)
 
     def send(self, peer_id: str, message: Any) -> bool:
         """Send a message without ever waiting.
@@ -258,14 +258,14 @@
             is_sent = False
         # A failed send takes the socket's edge too: unmarked, what had come by then, and all that
         # follows it on that connection, stays unread until a third process sends something.
-        if _zmq_wait.has_message(socket) and self._waiter is not None:
-            self._waiter.mark(socket)
+        if _zmq_poller.has_message(socket) and self._poller is not None:
+            self._poller.mark_pending(socket)
         return is_sent
 
     async def _receive_all(self) -> None:
-        assert self._waiter is not None
+        assert self._poller is not None
         while True:
-            for socket in await self._waiter.wait():
+            for socket in await self._poller.wait():
                 await self._receive_batch(socket)
             await curio.sleep(0)
 
@@ -280,8 +280,8 @@
             received = self._accept(socket, frames)
             if received is not None:
                 await self._inbox.put(received)
-        if not socket.closed and self._waiter is not None:
-            self._waiter.mark(socket)
+        if not socket.closed and self._poller is not None:
+            self._poller.mark_pending(socket)
 
     def _accept(self, socket: zmq.Socket, frames: list[zmq.Frame]) -> node.MessageReceived | None:
         if socket is self._router:
@@ -327,8 +327,8 @@
         return frame.get("User-Id") == sender and sender in self._keys.public_by_name
 
     def _close_socket(self, socket: zmq.Socket) -> None:
-        if self._waiter is not None:
-            self._waiter.remove(socket)
+        if self._poller is not None:
+            self._poller.remove(socket)
         socket.close()
 
 
--- a/src/medlarfork/links/routed_links.py
+++ b/src/medlarfork/links/routed_links.py
@@ -21,10 +21,10 @@
 
 LINK_OPTIONS = link.LinkOptions(
     heartbeat_s=0.5,
-    silence_s=1.5,
+    idle_timeout_s=1.5,
     reconnect_s=0.1,
-    reconnect_limit_s=0.5,
-    connect_s=0.5,
+    max_reconnect_s=0.5,
+    connect_timeout_s=0.5,
     linger_s=0.05,
 )
 """Times of the links: a connection that went silent is given up after 1.5 s, half of the time that
--- a/src/medlarfork/load/_load_arrivals.py
+++ b/src/medlarfork/load/_load_arrivals.py
@@ -37,15 +37,15 @@
 ) -> Iterator[Arrival]:
     """Yield the arrivals of one class in order: a Poisson process whose rate follows the bursts."""
     generator = random.Random(f"{seed}/{load_class.name}")
-    highest = load_class.rate_per_s * max(1.0, load_class.burst_factor)
+    max_rate = load_class.rate_per_s * max(1.0, load_class.burst_factor)
     at_s = 0.0
     number = 0
-    while highest > 0:
-        at_s += generator.expovariate(highest)
+    while max_rate > 0:
+        at_s += generator.expovariate(max_rate)
         if at_s >= duration_s:
             return
         # Drawn at the highest rate and thinned out to the rate of the moment.
-        if generator.random() * highest >= rate_at(load_class, at_s):
+        if generator.random() * max_rate >= rate_at(load_class, at_s):
             continue
         yield Arrival(
             number,
--- a/src/medlarfork/load/_load_caller.py
+++ b/src/medlarfork/load/_load_caller.py
@@ -13,10 +13,10 @@
 from medlarfork.http import header_names, http_client, sse
 from medlarfork.load import _load_directory, _load_experiment, _load_request
 
-_NO_WAIT_S = 0.05
+_DEFAULT_RETRY_AFTER_S = 0.05
 """Wait before a request that was not run is sent again, if the answer names no time."""
 
-_RETRIED_STATUSES = frozenset({0, 429, 503})
+_RETRYABLE_STATUSES = frozenset({0, 429, 503})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     first_byte_at: float | None = None
     tokens: int = 0
     verdict: _load_request.Verdict | None = None
-    retry_after_s: float = _NO_WAIT_S
+    retry_after_s: float = _DEFAULT_RETRY_AFTER_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -82,17 +82,17 @@
             due_at: Monotonic time at which it arrived; all times count from here.
             timeout_s: Time after which the caller gives up.
         """
-        give_up_at = due_at + timeout_s
+        deadline_at = due_at + timeout_s
         tried: frozenset[str] = frozenset()
         wasted = 0
         for retries in itertools.count():
-            address = await self._directory.pick(but=tried)
-            last = await self._attempt(address, request, give_up_at)
+            address = await self._directory.pick(exclude=tried)
+            last = await self._attempt(address, request, deadline_at)
             if last.outcome is not requests.Outcome.COMPLETED:
                 wasted += last.tokens
             wait_s = min(last.retry_after_s, self._experiment.retry_wait_limit_s)
-            over = time.monotonic() + wait_s >= give_up_at
-            if over or retries == self._experiment.retries or not _may_retry(last):
+            out_of_time = time.monotonic() + wait_s >= deadline_at
+            if out_of_time or retries == self._experiment.retries or not _may_retry(last):
                 break
             tried = tried | {address}
             await curio.sleep(wait_s)
@@ -100,9 +100,9 @@
         return Result(last, retries, first_byte_s, time.monotonic() - due_at, wasted)
 
     async def _attempt(
-        self, address: str, request: _load_request.LoadRequest, give_up_at: float
+        self, address: str, request: _load_request.LoadRequest, deadline_at: float
     ) -> Attempt:
-        left_s = max(give_up_at - time.monotonic(), 0.001)
+        left_s = max(deadline_at - time.monotonic(), 0.001)
         try:
             response = await self._client.request(
                 address,
@@ -116,11 +116,11 @@
             return Attempt(_outcome_of(error))
         if response.status == 200 and request.stream:
             return await _read_stream(response, request)
-        return await _read_whole(response, request)
+        return await _read_body(response, request)
 
 
 def _may_retry(attempt: Attempt) -> bool:
-    return attempt.outcome is requests.Outcome.NOT_RUN and attempt.status in _RETRIED_STATUSES
+    return attempt.outcome is requests.Outcome.NOT_RUN and attempt.status in _RETRYABLE_STATUSES
 
 
 def _outcome_of(error: errors.UpstreamError) -> requests.Outcome:
@@ -131,16 +131,16 @@
     response: http_client.Response, request: _load_request.LoadRequest
 ) -> Attempt:
     """Read a streamed answer; only ``[DONE]`` and the connection's proper end complete it."""
-    splitter = sse.Splitter()
+    parser = sse.EventParser()
     parts: list[str] = []
     first_at: float | None = None
     done = False
     try:
         async for data in response.chunks():
             first_at = first_at or time.monotonic()
-            for event in splitter.feed(data):
+            for event in parser.feed(data):
                 done = done or event.data == sse.DONE
-                parts.append(_load_request.text_of(event))
+                parts.append(_load_request.delta_text(event))
     except errors.UpstreamError:
         done = False
     finally:
@@ -148,28 +148,26 @@
     tokens = sum(1 for part in parts if part)
     if not done:
         return Attempt(requests.Outcome.MAY_HAVE_RUN, response.status, first_at, tokens)
-    verdict = _load_request.judge_text(request, "".join(parts))
+    verdict = _load_request.check_text(request, "".join(parts))
     return Attempt(requests.Outcome.COMPLETED, response.status, first_at, tokens, verdict)
 
 
-async def _read_whole(
-    response: http_client.Response, request: _load_request.LoadRequest
-) -> Attempt:
+async def _read_body(response: http_client.Response, request: _load_request.LoadRequest) -> Attempt:
     try:
         body = await response.read()
     except errors.UpstreamError:
         return Attempt(requests.Outcome.MAY_HAVE_RUN, response.status)
     if response.status != 200:
-        outcome = _named_outcome(response)
+        outcome = _response_outcome(response)
         return Attempt(outcome, response.status, retry_after_s=_retry_after_s(response))
     first_at = time.monotonic()
-    verdict, tokens = _load_request.judge_body(request, body)
+    verdict, tokens = _load_request.check_body(request, body)
     return Attempt(requests.Outcome.COMPLETED, response.status, first_at, tokens, verdict)
 
 
-def _named_outcome(response: http_client.Response) -> requests.Outcome:
-    named = response.headers.get(header_names.OUTCOME.lower(), "")
-    if named == requests.Outcome.NOT_RUN:
+def _response_outcome(response: http_client.Response) -> requests.Outcome:
+    value = response.headers.get(header_names.OUTCOME.lower(), "")
+    if value == requests.Outcome.NOT_RUN:
         return requests.Outcome.NOT_RUN
     # Without a word on it, an error may have come after the request took effect.
     return requests.Outcome.MAY_HAVE_RUN
@@ -180,4 +178,4 @@
         value = response.headers.get(name.lower(), "")
         if value.isascii() and value.isdigit():
             return int(value) * unit_s
-    return _NO_WAIT_S
+    return _DEFAULT_RETRY_AFTER_S
--- a/src/medlarfork/load/_load_directory.py
+++ b/src/medlarfork/load/_load_directory.py
@@ -12,10 +12,10 @@
 from medlarfork.entry import entries_answer
 from medlarfork.http import http_client
 
-_ASK_TIMEOUT_S = 2.0
+_REQUEST_TIMEOUT_S = 2.0
 """How long one entry host may take to answer, in seconds."""
 
-_SHORTEST_LIFETIME_S = 0.1
+_MIN_LIFETIME_S = 0.1
 """Least time that an answer is kept, whatever it says, in seconds."""
 
 _RETRY_S = 0.5
@@ -39,37 +39,37 @@
         self._data_centre = data_centre
         self._addresses: tuple[str, ...] = ()
         self._valid_until = 0.0
-        self._turn = 0
-        self._asking = curio.Lock()
+        self._next_index = 0
+        self._refresh_lock = curio.Lock()
 
-    async def pick(self, *, but: frozenset[str] = frozenset()) -> str:
-        """Return the address to use for one request, if possible none of ``but``."""
+    async def pick(self, *, exclude: frozenset[str] = frozenset()) -> str:
+        """Return the address to use for one request, if possible none of ``exclude``."""
         if time.monotonic() >= self._valid_until:
-            await self._renew()
+            await self._refresh()
         addresses = self._addresses or self._seeds
-        usable = [address for address in addresses if address not in but] or list(addresses)
-        self._turn += 1
-        return usable[self._turn % len(usable)]
+        usable = [address for address in addresses if address not in exclude] or list(addresses)
+        self._next_index += 1
+        return usable[self._next_index % len(usable)]
 
-    async def _renew(self) -> None:
-        async with self._asking:
+    async def _refresh(self) -> None:
+        async with self._refresh_lock:
             if time.monotonic() < self._valid_until:
                 return
             for address in dict.fromkeys((*self._addresses, *self._seeds)):
-                answer = await self._ask(address)
-                if answer is not None and answer.entries:
-                    self._use(answer)
+                reply = await self._fetch(address)
+                if reply is not None and reply.entries:
+                    self._apply(reply)
                     return
             self.failures += 1
             self._valid_until = time.monotonic() + _RETRY_S
 
-    async def _ask(self, address: str) -> entries_answer.EntriesAnswer | None:
+    async def _fetch(self, address: str) -> entries_answer.EntriesAnswer | None:
         path = entries_answer.ENTRIES_PATH
         query = urllib.parse.urlencode({"dc": self._data_centre}) if self._data_centre else ""
         target = f"{path}?{query}" if query else path
         try:
             response = await self._client.request(
-                address, "GET", target, {}, b"", timeout_s=_ASK_TIMEOUT_S
+                address, "GET", target, {}, b"", timeout_s=_REQUEST_TIMEOUT_S
             )
             body = await response.read()
             if response.status == 200:
@@ -78,8 +78,8 @@
             pass
         return None
 
-    def _use(self, answer: entries_answer.EntriesAnswer) -> None:
-        near = [item.address for item in answer.entries if item.data_centre == self._data_centre]
-        self._addresses = tuple(near or [item.address for item in answer.entries])
-        lifetime_s = max(answer.lifetime_s, _SHORTEST_LIFETIME_S)
+    def _apply(self, reply: entries_answer.EntriesAnswer) -> None:
+        local = [item.address for item in reply.entries if item.data_centre == self._data_centre]
+        self._addresses = tuple(local or [item.address for item in reply.entries])
+        lifetime_s = max(reply.lifetime_s, _MIN_LIFETIME_S)
         self._valid_until = time.monotonic() + lifetime_s
--- a/src/medlarfork/load/_load_report.py
+++ b/src/medlarfork/load/_load_report.py
@@ -81,7 +81,7 @@
     classes: tuple[ClassReport, ...]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         """Return whether the run completed and no complete answer was wrong."""
         return not any(
             item.cut or item.foreign or item.doubled or item.unfinished or item.skipped
@@ -103,7 +103,7 @@
         self.skipped = 0
         self._class = load_class
         self._finished = 0
-        self._good = 0
+        self._good_count = 0
         self._retries = 0
         self._wasted_tokens = 0
         self._errors = 0
@@ -127,8 +127,8 @@
         self._whole_s.append(result.whole_s)
         if result.first_byte_s is not None:
             self._first_byte_s.append(result.first_byte_s)
-        if last.verdict is _load_request.Verdict.OWN and self._in_target(result):
-            self._good += 1
+        if last.verdict is _load_request.Verdict.OWN and self._meets_targets(result):
+            self._good_count += 1
 
     def report(self, duration_s: float) -> ClassReport:
         """Return the sum of what was collected."""
@@ -142,8 +142,8 @@
             unfinished=self.sent - self._finished,
             skipped=self.skipped,
             retries=self._retries,
-            attainment=self._good / self.sent if self.sent else 1.0,
-            goodput_per_s=self._good / duration_s,
+            attainment=self._good_count / self.sent if self.sent else 1.0,
+            goodput_per_s=self._good_count / duration_s,
             wasted_tokens=self._wasted_tokens,
             cut=self._by_verdict[_load_request.Verdict.CUT],
             foreign=self._by_verdict[_load_request.Verdict.FOREIGN],
@@ -152,7 +152,7 @@
             whole=percentiles(self._whole_s),
         )
 
-    def _in_target(self, result: _load_caller.Result) -> bool:
+    def _meets_targets(self, result: _load_caller.Result) -> bool:
         first_s, whole_s = self._class.first_token_target_s, self._class.whole_target_s
         if first_s is not None and (result.first_byte_s is None or result.first_byte_s > first_s):
             return False
--- a/src/medlarfork/load/_load_request.py
+++ b/src/medlarfork/load/_load_request.py
@@ -77,28 +77,28 @@
             return _build_call(load_class, arrival, headers, time_ms)
 
 
-def judge_text(request: LoadRequest, text: str) -> Verdict:
+def check_text(request: LoadRequest, text: str) -> Verdict:
     """Return whether a chat answer that ended properly is the expected one."""
     if text == request.expected:
         return Verdict.OWN
     return Verdict.CUT if request.expected.startswith(text) else Verdict.FOREIGN
 
 
-def judge_body(request: LoadRequest, body: bytes) -> tuple[Verdict, int]:
+def check_body(request: LoadRequest, body: bytes) -> tuple[Verdict, int]:
     """Return whether a whole body is the expected one, and its tokens."""
     try:
         answer = json.loads(body)
         if request.target == parse.CHAT_PATH:
             text = answer["choices"][0]["message"]["content"]
-            return judge_text(request, text), answer["usage"]["completion_tokens"]
-        return _judge_echo(request, answer), 0
+            return check_text(request, text), answer["usage"]["completion_tokens"]
+        return _check_echo(request, answer), 0
     except ValueError:
         return Verdict.CUT, 0
     except (KeyError, IndexError, TypeError):
         return Verdict.FOREIGN, 0
 
 
-def text_of(event: sse.Event) -> str:
+def delta_text(event: sse.Event) -> str:
     """Return the text that one event of a streamed chat answer adds."""
     try:
         choices = json.loads(event.data)["choices"]
@@ -107,7 +107,7 @@
         return ""
 
 
-def _judge_echo(request: LoadRequest, answer: dict[str, Any]) -> Verdict:
+def _check_echo(request: LoadRequest, answer: dict[str, Any]) -> Verdict:
     if answer["method"] != request.method or not request.target.endswith(answer["path"]):
         return Verdict.FOREIGN
     if not answer["path"].endswith(request.expected):
@@ -125,11 +125,11 @@
     headers: dict[str, str],
     seed: int,
 ) -> LoadRequest:
-    beginning = f"You answer group {arrival.group} of class {load_class.name}."
+    system_prompt = f"You answer group {arrival.group} of class {load_class.name}."
     words = " ".join([_WORD] * load_class.prompt_words)
     question = f"{seed}/{load_class.name}/{arrival.number} [tokens={arrival.tokens}] {words}"
     messages = [
-        {"role": "system", "content": beginning},
+        {"role": "system", "content": system_prompt},
         {"role": "user", "content": question},
     ]
     max_tokens = load_class.max_tokens or None
--- a/src/medlarfork/load/load_program.py
+++ b/src/medlarfork/load/load_program.py
@@ -24,10 +24,10 @@
 PROGRAM = "medlar-load"
 """Name of the program."""
 
-BAD_STATUS = 1
+FAILED_STATUS = 1
 """Exit status if the run did not complete or a complete answer was wrong."""
 
-_CONNECTIONS = 100_000
+_MAX_CONNECTIONS = 100_000
 """Most connections; a load run must never wait for one."""
 
 
@@ -37,7 +37,7 @@
     def __init__(self, experiment: _load_experiment.Experiment) -> None:
         """Wire the run."""
         self._experiment = experiment
-        limits = http_client.ClientLimits(connections=_CONNECTIONS)
+        limits = http_client.ClientLimits(connections=_MAX_CONNECTIONS)
         self._client = http_client.HttpClient(limits=limits)
         directory = _load_directory.LoadDirectory(
             self._client, experiment.entries, data_centre=experiment.data_centre
@@ -45,7 +45,7 @@
         self._caller = _load_caller.LoadCaller(self._client, directory, experiment)
         self._tallies = [_load_report.ClassTally(item) for item in experiment.classes]
         self._outstanding = 0
-        self._none_left = curio.Event()
+        self._all_finished = curio.Event()
         self._latest_s = 0.0
 
     async def run(self) -> _load_report.LoadReport:
@@ -55,7 +55,7 @@
         async with curio.TaskGroup() as group:
             for load_class, tally in zip(self._experiment.classes, self._tallies, strict=True):
                 await group.spawn(self._send_class, load_class, tally, started_at)
-        await self._wait_for_answers()
+        await self._wait_for_responses()
         report = self._report()
         await self._client.close()
         return report
@@ -106,13 +106,13 @@
         tally.add(result)
         self._outstanding -= 1
         if not self._outstanding:
-            await self._none_left.set()
+            await self._all_finished.set()
 
-    async def _wait_for_answers(self) -> None:
-        give_up_at = time.monotonic() + self._experiment.drain_s
-        while self._outstanding and time.monotonic() < give_up_at:
-            self._none_left.clear()
-            await curio.ignore_after(give_up_at - time.monotonic(), self._none_left.wait)
+    async def _wait_for_responses(self) -> None:
+        deadline_at = time.monotonic() + self._experiment.drain_s
+        while self._outstanding and time.monotonic() < deadline_at:
+            self._all_finished.clear()
+            await curio.ignore_after(deadline_at - time.monotonic(), self._all_finished.wait)
 
 
 def run() -> None:
@@ -128,7 +128,7 @@
         print(msgspec.json.format(msgspec.json.encode(report), indent=2).decode())
     else:
         print(_load_report.render(report))
-    raise SystemExit(0 if report.good else BAD_STATUS)
+    raise SystemExit(0 if report.passed else FAILED_STATUS)
 
 
 def _experiment_path(values: flags.FlagValues) -> pathlib.Path:
--- a/src/medlarfork/logs.py
+++ b/src/medlarfork/logs.py
@@ -43,17 +43,17 @@
 _PLAIN_VALUE = re.compile(r"[^\s\"'=\\]+")
 """Printable values that need no quotes."""
 
-_TOKEN_SIGN = "sk-"
+_API_KEY_PREFIX = "sk-"
 """Is part of every credential that has no blank before it, in lower case."""
 
-MOST_LINES_S = 2000
+MAX_LINES_PER_S = 2000
 """Lines that a process writes in a second at most: several times what one core's requests need, so
 that only a fault that repeats itself is cut short."""
 
 _COMMON_FIELDS = frozenset({"event", "ts", "level", "process", "pid", "logger"})
 """Fields that each line begins with; an event can't overwrite them."""
 
-_KEYS_KNOWN = 1024
+_KEY_CACHE_SIZE = 1024
 """Keys whose form is remembered."""
 
 _UNEXPECTED_KEY = re.compile(r"[^A-Za-z0-9_.]")
@@ -61,7 +61,11 @@
 
 
 def configure(
-    level: str, process_name: str, *, stream: TextIO | None = None, lines_s: int = MOST_LINES_S
+    level: str,
+    process_name: str,
+    *,
+    stream: TextIO | None = None,
+    lines_per_s: int = MAX_LINES_PER_S,
 ) -> None:
     """Send every logger's events to standard error.
 
@@ -69,7 +73,7 @@
         level: The lowest level that is logged; one of ``LEVELS``.
         process_name: Names the process in every line.
         stream: Where to write instead of standard error.
-        lines_s: Lines in a second beyond which further ones are dropped and counted.
+        lines_per_s: Lines in a second beyond which further ones are dropped and counted.
 
     Raises:
         errors.SettingsError: If the level is unknown.
@@ -78,7 +82,7 @@
         raise errors.SettingsError(
             f"{level!r} is not a log level.", remedy=f"Set one of {', '.join(LEVELS)}."
         )
-    handler = _log_output.LineHandler(stream or sys.stderr, lines_s=lines_s)
+    handler = _log_output.LineHandler(stream or sys.stderr, lines_per_s=lines_per_s)
     handler.setFormatter(KeyValueFormatter(process_name))
     # Lines name the process themselves; looking these up for each record would load and use a
     # module for processes that no program needs.
@@ -165,12 +169,12 @@
     return moment.replace(tzinfo=None).isoformat(timespec="milliseconds") + "Z"
 
 
-@functools.lru_cache(maxsize=_KEYS_KNOWN)
+@functools.lru_cache(maxsize=_KEY_CACHE_SIZE)
 def _clean_key(key: str) -> str:
     return _UNEXPECTED_KEY.sub("_", key)
 
 
-@functools.lru_cache(maxsize=_KEYS_KNOWN)
+@functools.lru_cache(maxsize=_KEY_CACHE_SIZE)
 def _is_secret(key: str) -> bool:
     return key.lower().replace("-", "_") in _SECRET_FIELDS
 
@@ -186,7 +190,11 @@
         case float():
             return f"{value:.6g}"
     text = str(value)
-    if _TOKEN_SIGN not in text.casefold() and text.isprintable() and _PLAIN_VALUE.fullmatch(text):
+    if (
+        _API_KEY_PREFIX not in text.casefold()
+        and text.isprintable()
+        and _PLAIN_VALUE.fullmatch(text)
+    ):
         return text
     text = _SECRET_TEXT.sub(REDACTED, text)
     if text.isprintable() and _PLAIN_VALUE.fullmatch(text):
--- a/src/medlarfork/metrics/process_metrics.py
+++ b/src/medlarfork/metrics/process_metrics.py
@@ -23,10 +23,10 @@
 CONTENT_TYPE = "text/plain; version=0.0.4"
 """Content type of what ``ProcessMetrics.respond`` sends."""
 
-MOST_LABEL_SETS = 4096
+MAX_LABEL_SETS = 4096
 """Label sets that are counted apart; further ones share one, which bounds memory."""
 
-MOST_KEPT = 10_000
+MAX_PENDING_TIMES = 10_000
 """Times of a kind that are kept before the library is loaded without being asked for, which bounds
 memory to some megabytes."""
 
@@ -50,13 +50,15 @@
 
     def tally(self, name: str, description: str, labels: tuple[str, ...]) -> tally.Tally:
         """Return a counter by labels."""
-        counts = tally.Tally(labels, most=MOST_LABEL_SETS)
+        counts = tally.Tally(labels, most=MAX_LABEL_SETS)
         self._tallies.append((name, description, counts))
         return counts
 
     def timing(self, name: str, description: str) -> timing.Timing:
         """Return what takes the times of a histogram."""
-        times = timing.Timing(name, description, most=MOST_KEPT, on_full=self._load_aside)
+        times = timing.Timing(
+            name, description, most=MAX_PENDING_TIMES, on_full=self._load_in_background
+        )
         self._timings.append(times)
         return times
 
@@ -70,7 +72,7 @@
         body = await curio.run_in_thread(self._render)
         await exchange.respond(200, {"Content-Type": CONTENT_TYPE}, body)
 
-    def _load_aside(self) -> None:
+    def _load_in_background(self) -> None:
         threading.Thread(target=self._load, name="metrics", daemon=True).start()
 
     def _render(self) -> bytes:
--- a/src/medlarfork/metrics/sdk_metrics.py
+++ b/src/medlarfork/metrics/sdk_metrics.py
@@ -58,7 +58,7 @@
             description=times.description,
             explicit_bucket_boundaries_advisory=BUCKETS_S,
         )
-        times.hand_on(histogram)
+        times.attach(histogram)
 
     def render(self) -> bytes:
         """Return all values as text for Prometheus."""
--- a/src/medlarfork/metrics/tally.py
+++ b/src/medlarfork/metrics/tally.py
@@ -19,22 +19,22 @@
     microseconds a request; here that is done only when the values are read.
     """
 
-    def __init__(self, names: tuple[str, ...], *, most: int) -> None:
+    def __init__(self, names: tuple[str, ...], *, max_label_sets: int) -> None:
         """Make an empty tally.
 
         Args:
             names: Names of the labels.
-            most: Label sets that are counted apart; further ones share one.
+            max_label_sets: Label sets that are counted apart; further ones share one.
         """
         self._names = names
-        self._most = most
+        self._max_label_sets = max_label_sets
         self._value_by_labels: dict[tuple[str, ...], int] = {}
         self._overflow = (OVERFLOW,) * len(names)
 
     def add(self, amount: int, *labels: str) -> None:
         """Add to the count of the given label values, in the order of the names."""
         present = self._value_by_labels.get(labels)
-        if present is None and len(self._value_by_labels) >= self._most:
+        if present is None and len(self._value_by_labels) >= self._max_label_sets:
             labels = self._overflow
             present = self._value_by_labels.get(labels)
         self._value_by_labels[labels] = (present or 0) + amount
--- a/src/medlarfork/metrics/timing.py
+++ b/src/medlarfork/metrics/timing.py
@@ -25,41 +25,41 @@
     """
 
     def __init__(
-        self, name: str, description: str, *, most: int, on_full: Callable[[], None]
+        self, name: str, description: str, *, max_pending: int, on_full: Callable[[], None]
     ) -> None:
         """Start without a histogram.
 
         Args:
             name: The histogram's name.
             description: What is timed.
-            most: How many times are kept before a histogram is asked for.
+            max_pending: How many times are kept before a histogram is asked for.
             on_full: Asks for it; called once.
         """
         self.name = name
         self.description = description
-        self._most = most
+        self._max_pending = max_pending
         self._on_full = on_full
         self._histogram: Histogram | None = None
-        self._kept: collections.deque[tuple[float, dict[str, str]]] = collections.deque()
+        self._pending: collections.deque[tuple[float, dict[str, str]]] = collections.deque()
 
     def record(self, seconds: float, labels: dict[str, str] | None = None) -> None:
         """Take one time."""
         if self._histogram is not None:
             self._histogram.record(seconds, labels)
             return
-        self._kept.append((seconds, labels or {}))
-        if len(self._kept) == self._most:
+        self._pending.append((seconds, labels or {}))
+        if len(self._pending) == self._max_pending:
             self._on_full()
         if self._histogram is not None:
             # It came from another thread between the look and the append.
-            self._hand_kept_on(self._histogram)
+            self._flush_pending(self._histogram)
 
-    def hand_on(self, histogram: Histogram) -> None:
+    def attach(self, histogram: Histogram) -> None:
         """Hand what was kept, and all that follows, on to a histogram; from any thread."""
         self._histogram = histogram
-        self._hand_kept_on(histogram)
+        self._flush_pending(histogram)
 
-    def _hand_kept_on(self, histogram: Histogram) -> None:
+    def _flush_pending(self, histogram: Histogram) -> None:
         with contextlib.suppress(IndexError):
             while True:
-                histogram.record(*self._kept.popleft())
+                histogram.record(*self._pending.popleft())
--- a/src/medlarfork/operator/_ctl_commands.py
+++ b/src/medlarfork/operator/_ctl_commands.py
@@ -22,7 +22,7 @@
 _POLL_S = 0.2
 """Time between two looks at whether a revision is in force, in seconds."""
 
-_CONFLICT_TRIES = 8
+_MAX_CONFLICT_TRIES = 8
 """How often a drain is made anew because other changes come first."""
 
 _DRAIN_FIELD = {"upstream": "drained_upstreams", "entry": "drained_entries"}
@@ -34,7 +34,7 @@
 
     request: _ctl_types.Request
     client: operator_client.OperatorClient
-    surroundings: _ctl_types.Surroundings
+    environment: _ctl_types.Environment
 
     async def check(self, file: str) -> _ctl_types.Result:
         """Check a configuration file."""
@@ -46,11 +46,11 @@
         read = configuration_file.load(pathlib.Path(file))
         wanted = read.configuration
         current = await self.client.configuration()
-        self._note_undrained(current.configuration, wanted)
+        self._warn_of_ended_drains(current.configuration, wanted)
         change_id = self.request.change_id or self._new_id()
-        given = (self.request.base_revision, read.revision, current.revision)
-        base = next(revision for revision in given if revision is not None)
-        self.surroundings.note(f"change_id={change_id} base_revision={base}")
+        candidates = (self.request.base_revision, read.revision, current.revision)
+        base = next(revision for revision in candidates if revision is not None)
+        self.environment.print_stderr(f"change_id={change_id} base_revision={base}")
         accepted = await self.client.apply(change_id, base, wanted)
         return await self._accepted(accepted)
 
@@ -60,7 +60,7 @@
         wanted = read.configuration
         current = await self.client.configuration()
         if read.revision not in (None, current.revision):
-            self.surroundings.note(
+            self.environment.print_stderr(
                 f"{file} was made from revision {read.revision}; the current one is "
                 f"{current.revision}, so apply will refuse it"
             )
@@ -95,11 +95,11 @@
                 reply_by_address[address] = await self.client.status(address)
             except errors.UpstreamError as error:
                 problem_by_address[address] = error.problem
-        led = any(reply.has_lease for reply in reply_by_address.values())
+        has_leader = any(reply.has_lease for reply in reply_by_address.values())
         return _ctl_types.Result(
             {"hosts": reply_by_address, "unreachable": problem_by_address},
             _ctl_render.statuses(reply_by_address, problem_by_address),
-            _ctl_types.ExitStatus.OK if led else _ctl_types.ExitStatus.UNREACHABLE,
+            _ctl_types.ExitStatus.OK if has_leader else _ctl_types.ExitStatus.UNREACHABLE,
         )
 
     async def members(self) -> _ctl_types.Result:
@@ -109,22 +109,22 @@
 
     async def explain(self) -> _ctl_types.Result:
         """Ask an entry host where a request would go, and why."""
-        asked = self.request
-        if not asked.account or bool(asked.model) == bool(asked.path):
+        options = self.request
+        if not options.account or bool(options.model) == bool(options.path):
             raise _ctl_types.UsageError(
                 "explain needs an account and either a model or a path.",
                 remedy="Give --account=NAME and one of --model=NAME and --path=/services/....",
             )
-        query = {"account": asked.account, "stream": "true" if asked.stream else "false"}
+        query = {"account": options.account, "stream": "true" if options.stream else "false"}
         for key in ("model", "path", "method", "labels"):
-            if getattr(asked, key):
-                query[key] = getattr(asked, key)
+            if getattr(options, key):
+                query[key] = getattr(options, key)
         reply = await self._explain(query)
         return _ctl_types.Result(reply, _ctl_render.tree(reply))
 
     async def drain(self, kind: str, member_id: str) -> _ctl_types.Result:
         """Give an upstream no new work, or name an entry host to callers no more."""
-        await self._note_unknown(kind, member_id)
+        await self._warn_if_unknown(kind, member_id)
         return await self._change_drained(kind, member_id, drained=True)
 
     async def undrain(self, kind: str, member_id: str) -> _ctl_types.Result:
@@ -138,7 +138,7 @@
 
     async def hash_key(self) -> _ctl_types.Result:
         """Print the digest of the API key on standard input."""
-        key = self.surroundings.read_input().strip()
+        key = self.environment.read_input().strip()
         if not key:
             raise _ctl_types.UsageError(
                 "There is no key on standard input.",
@@ -165,7 +165,7 @@
         base = self.request.base_revision
         base = (await self.client.orders()).revision if base is None else base
         change_id = self.request.change_id or self._new_id()
-        self.surroundings.note(f"change_id={change_id} base_revision={base}")
+        self.environment.print_stderr(f"change_id={change_id} base_revision={base}")
         declare = order_types.Declare(desired, change_id, base, self.request.settings.operator)
         accepted = await self.client.declare_order(declare)
         return _ctl_types.Result(accepted, f"accepted as revision {accepted.revision}")
@@ -199,16 +199,18 @@
             raise _ctl_types.UsageError(
                 f"{kind!r} can't be drained.", remedy="Write upstream ID or entry ID."
             )
-        for _ in range(_CONFLICT_TRIES - 1):
+        for _ in range(_MAX_CONFLICT_TRIES - 1):
             try:
-                return await self._try_drained(kind, member_id, drained)
+                return await self._try_change_drained(kind, member_id, drained)
             except errors.OperatorError as error:
                 if error.code is not errors.Code.CHANGE_CONFLICT:
                     raise
-                self.surroundings.note(f"made anew: {error.problem}")
-        return await self._try_drained(kind, member_id, drained)
+                self.environment.print_stderr(f"made anew: {error.problem}")
+        return await self._try_change_drained(kind, member_id, drained)
 
-    async def _try_drained(self, kind: str, member_id: str, drained: bool) -> _ctl_types.Result:
+    async def _try_change_drained(
+        self, kind: str, member_id: str, drained: bool
+    ) -> _ctl_types.Result:
         current = await self.client.configuration()
         field = _DRAIN_FIELD[kind]
         ids = getattr(current.configuration, field)
@@ -229,13 +231,13 @@
         reply = {"change_id": accepted.change_id, "revision": accepted.revision}
         if not self.request.wait:
             return _ctl_types.Result(reply, text)
-        state = await self._wait(accepted.revision)
+        state = await self._wait_until_in_force(accepted.revision)
         in_time = _is_in_force(state)
         status = _ctl_types.ExitStatus.OK if in_time else _ctl_types.ExitStatus.NOT_IN_FORCE
         text += f"\n{_ctl_render.in_force(state)}"
         return _ctl_types.Result({**reply, "in_force": in_time, "at": state}, text, status)
 
-    async def _wait(self, revision: int) -> operations.InForceReply:
+    async def _wait_until_in_force(self, revision: int) -> operations.InForceReply:
         """Return once it is in force or can't get there, or when the time is up."""
         give_up_at = time.monotonic() + self.request.settings.wait_s
         while True:
@@ -246,19 +248,19 @@
                 return state
             await curio.sleep(_POLL_S)
 
-    def _note_undrained(
+    def _warn_of_ended_drains(
         self, current: configurations.Configuration, wanted: configurations.Configuration
     ) -> None:
         """Warn where a file that does not list a drain ends it."""
         for kind, field in _DRAIN_FIELD.items():
             ended = set(getattr(current, field)) - set(getattr(wanted, field))
             for member_id in sorted(ended):
-                self.surroundings.note(
+                self.environment.print_stderr(
                     f"this ends the drain of {kind} {member_id}; "
                     f"list it under deployment.{field} to keep it"
                 )
 
-    async def _note_unknown(self, kind: str, member_id: str) -> None:
+    async def _warn_if_unknown(self, kind: str, member_id: str) -> None:
         """Warn if nobody reports what is to be drained; it may still start later."""
         try:
             match kind:
@@ -270,17 +272,17 @@
                 case _:
                     return
         except errors.OperatorError as error:
-            self.surroundings.note(f"the id could not be checked: {error.problem}")
+            self.environment.print_stderr(f"the id could not be checked: {error.problem}")
             return
         if not known:
-            self.surroundings.note(
+            self.environment.print_stderr(
                 f"control knows no {kind} {member_id} at the moment; if the id is wrong, "
                 f"undo this with: undrain {kind} {member_id}"
             )
 
     def _new_id(self) -> str:
-        random_bytes = self.surroundings.random_bytes(uuid7.RANDOM_BYTES)
-        return uuid7.make(self.surroundings.time_ms(), random_bytes)
+        random_bytes = self.environment.random_bytes(uuid7.RANDOM_BYTES)
+        return uuid7.make(self.environment.time_ms(), random_bytes)
 
 
 def _is_in_force(state: operations.InForceReply) -> bool:
--- a/src/medlarfork/operator/_ctl_flags.py
+++ b/src/medlarfork/operator/_ctl_flags.py
@@ -15,7 +15,7 @@
 PROGRAM = "medlarctl"
 
 
-class HelpAsked(Exception):
+class HelpRequested(Exception):
     """Carry the help text, which was asked for."""
 
 
@@ -67,14 +67,14 @@
     """Return what the command line asks for.
 
     Raises:
-        HelpAsked: It asks for help.
+        HelpRequested: It asks for help.
         flags.Error: It has an unknown or malformed flag.
         errors.MedlarError: Its command, arguments or settings file have mistakes.
     """
     values = _define()
     words = values(list(arguments))[1:]
     if values["help"].value or words[:1] == ["help"]:
-        raise HelpAsked(_help(values))
+        raise HelpRequested(_help(values))
     command = _find(words)
     chosen = _settings(values)
     if command.needs_control and not chosen.control:
@@ -151,19 +151,19 @@
     chosen = _ctl_types.CtlSettings(operator=os.environ.get("USER", ""))
     if values["settings"].value:
         chosen = settings.load(pathlib.Path(values["settings"].value), _ctl_types.CtlSettings)
-    given = {
+    overrides = {
         field.name: values[field.name].value
         for field in dataclasses.fields(_ctl_types.CtlSettings)
         if values[field.name].value is not None
     }
     for name in ("control", "entry"):
-        if name in given:
-            given[name] = tuple(given[name])
-    if "operator_key_file" in given:
-        given["operator_key_file"] = pathlib.Path(given["operator_key_file"])
-    if "output" in given:
-        given["output"] = _ctl_types.OutputFormat(given["output"])
-    return dataclasses.replace(chosen, **given)
+        if name in overrides:
+            overrides[name] = tuple(overrides[name])
+    if "operator_key_file" in overrides:
+        overrides["operator_key_file"] = pathlib.Path(overrides["operator_key_file"])
+    if "output" in overrides:
+        overrides["output"] = _ctl_types.OutputFormat(overrides["output"])
+    return dataclasses.replace(chosen, **overrides)
 
 
 def _help(values: flags.FlagValues) -> str:
--- a/src/medlarfork/operator/_ctl_types.py
+++ b/src/medlarfork/operator/_ctl_types.py
@@ -115,17 +115,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Environment:
     """Hand a command what it may use besides its arguments.
 
     Attributes:
         read_input: Reads standard input.
-        note: Prints a line on standard error at once.
+        print_stderr: Prints a line on standard error at once.
         time_ms: Returns Unix milliseconds.
         random_bytes: Returns so many random bytes.
     """
 
     read_input: Callable[[], str]
-    note: Callable[[str], None]
+    print_stderr: Callable[[str], None]
     time_ms: Callable[[], int]
     random_bytes: Callable[[int], bytes]
--- a/src/medlarfork/operator/ctl_program.py
+++ b/src/medlarfork/operator/ctl_program.py
@@ -30,8 +30,8 @@
     """Run a command line, whose first item names the program, and return its exit status."""
     try:
         request = _ctl_flags.parse(arguments)
-    except _ctl_flags.HelpAsked as asked:
-        print(asked)
+    except _ctl_flags.HelpRequested as help_request:
+        print(help_request)
         return ExitStatus.OK
     except (flags.Error, errors.MedlarError) as error:
         print(error, file=sys.stderr)
@@ -52,7 +52,7 @@
     await http.start()
     try:
         client = operator_client.OperatorClient(http, _client_settings(request.settings))
-        commands = _ctl_commands.Commands(request, client, _surroundings())
+        commands = _ctl_commands.Commands(request, client, _environment())
         command = getattr(commands, request.command)
         return await command(*request.arguments)
     finally:
@@ -80,10 +80,10 @@
         ) from error
 
 
-def _surroundings() -> _ctl_types.Surroundings:
-    return _ctl_types.Surroundings(
+def _environment() -> _ctl_types.Environment:
+    return _ctl_types.Environment(
         read_input=sys.stdin.read,
-        note=lambda line: print(line, file=sys.stderr, flush=True),
+        print_stderr=lambda line: print(line, file=sys.stderr, flush=True),
         time_ms=lambda: time.time_ns() // 1_000_000,
         random_bytes=os.urandom,
     )
--- a/src/medlarfork/operator/operator_client.py
+++ b/src/medlarfork/operator/operator_client.py
@@ -21,7 +21,7 @@
 
 T = TypeVar("T")
 
-_RETRY_PAUSE_S = 0.2
+_RETRY_INTERVAL_S = 0.2
 """Time between two rounds over the control hosts, in seconds."""
 
 _MISDIRECTED = 421
@@ -177,7 +177,7 @@
         give_up_at = time.monotonic() + self._settings.patience_s
         problem = ""
         while True:
-            answer, problem = await self._round(method, target, body, resend)
+            answer, problem = await self._ask_each_host(method, target, body, resend)
             if answer is not None:
                 return _decoded(answer, kind)
             if time.monotonic() >= give_up_at:
@@ -185,21 +185,21 @@
                     f"No control leader answered: {problem}",
                     remedy="Check the addresses in --control and that most control hosts run.",
                 )
-            await curio.sleep(_RETRY_PAUSE_S)
+            await curio.sleep(_RETRY_INTERVAL_S)
 
-    async def _round(
+    async def _ask_each_host(
         self, method: str, target: str, body: bytes, resend: bool
     ) -> tuple[_Answer | None, str]:
         """Ask each host once, going where they point; return an answer or the last problem."""
-        waiting = collections.deque((self._preferred,) if self._preferred else ())
-        waiting.extend(self._settings.controls)
-        asked: set[str] = set()
+        pending = collections.deque((self._preferred,) if self._preferred else ())
+        pending.extend(self._settings.controls)
+        visited: set[str] = set()
         problem = "no address is known."
-        while waiting:
-            address = waiting.popleft()
-            if address in asked:
+        while pending:
+            address = pending.popleft()
+            if address in visited:
                 continue
-            asked.add(address)
+            visited.add(address)
             try:
                 answer = await self._send(address, method, target, body)
             except errors.UpstreamError as error:
@@ -211,7 +211,7 @@
                 return answer, ""
             problem = f"{address}: {answer.detail.message}"
             if answer.detail.leader_address:
-                waiting.appendleft(answer.detail.leader_address)
+                pending.appendleft(answer.detail.leader_address)
         self._preferred = ""
         return None, problem
 
