--- a/src/medlarfork/orders/_order_session.py
+++ b/src/medlarfork/orders/_order_session.py
@@ -57,7 +57,7 @@
         self._upstreams = upstreams
         self._fleet = _fleet.Fleet(board, upstreams)
         self._scheduler = weight_load_scheduler.WeightLoadScheduler(settings.store)
-        self._earlier_orders_expire_at = now + settings.order_time_s
+        self._earlier_orders_expire_at = now + settings.order_expiry_s
         self._engine_by_id: dict[str, _Engine] = {}
         self._engine_by_order: dict[str, _Engine] = {}
         self._timers = _timer_heap.TimerHeap[str]()
@@ -175,7 +175,7 @@
             self._drop_order(engine)
             self._set_phase(engine, _Phase.UNREAD, now + self._settings.poll_s)
             return
-        engine.order_expires_at = now + self._settings.order_time_s
+        engine.order_expires_at = now + self._settings.order_expiry_s
         notice = self._upstreams.upstream_by_id.get(engine.upstream_id)
         if notice is None or not self._lease.may_act(now):
             # Recorded but never sent: resolved by reading the state, like a lost order.
--- a/src/medlarfork/placement/owner.py
+++ b/src/medlarfork/placement/owner.py
@@ -41,7 +41,7 @@
         self._owner_by_shard: dict[placement_messages.Shard, shard_owner.ShardOwner] = {}
         self._last_message_at_by_shard: dict[placement_messages.Shard, float] = {}
         self._count_by_shard: dict[placement_messages.Shard, int] = {}
-        self._engine_by_service: dict[str, routing.EngineFacts | None] = {}
+        self._engine_by_service: dict[str, routing.EngineSpec | None] = {}
         self._present_by_service: dict[str, dict[str, upstream_types.Announcement]] = {}
         self._shard_by_ticket: dict[str, placement_messages.Shard] = {}
         self._decisions: list[placement_decision.Decision] = []
--- a/src/medlarfork/placement/placement_messages.py
+++ b/src/medlarfork/placement/placement_messages.py
@@ -39,7 +39,7 @@
 
     def has(self, upstream_id: str) -> bool:
         """Return whether an upstream belongs to this shard."""
-        return self.count == 1 or rendezvous.jump(upstream_id, self.count) == self.index
+        return self.count == 1 or rendezvous.jump_hash(upstream_id, self.count) == self.index
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/medlarfork/placement/shard_choice.py
+++ b/src/medlarfork/placement/shard_choice.py
@@ -47,7 +47,7 @@
     """Return the shards of a service with their numbers of upstreams, without empty shards."""
     own = [item.upstream_id for item in upstreams if item.service == service]
     shards = count(len(own))
-    counted = collections.Counter(rendezvous.jump(upstream_id, shards) for upstream_id in own)
+    counted = collections.Counter(rendezvous.jump_hash(upstream_id, shards) for upstream_id in own)
     return {
         placement_messages.Shard(service, index, shards): size
         for index, size in sorted(counted.items())
--- a/src/medlarfork/placement/shard_owner.py
+++ b/src/medlarfork/placement/shard_owner.py
@@ -67,7 +67,7 @@
         """Return the number of running requests."""
         return sum(len(load.run_by_ticket) for load in self.load_by_id.values())
 
-    def use_engine(self, engine: routing.EngineFacts | None) -> None:
+    def use_engine(self, engine: routing.EngineSpec | None) -> None:
         """Apply the engine facts of the routing; None for plain services."""
         self._chooser.use_engine(engine)
 
--- a/src/medlarfork/placement/upstream_chooser.py
+++ b/src/medlarfork/placement/upstream_chooser.py
@@ -53,7 +53,7 @@
         self.load_by_id: dict[str, upstream_load.UpstreamLoad] = {}
         self.gate = shard_gate.ShardGate(gate, queue)
 
-    def use_engine(self, engine: routing.EngineFacts | None) -> None:
+    def use_engine(self, engine: routing.EngineSpec | None) -> None:
         """Apply the engine facts of the routing; None for plain services."""
         self._memory_tokens = PLAIN_MEMORY_TOKENS if engine is None else engine.memory_tokens
         self.event_tokens = 1 if engine is None else engine.event_tokens
--- a/src/medlarfork/rendezvous.py
+++ b/src/medlarfork/rendezvous.py
@@ -26,7 +26,7 @@
     return int.from_bytes(digest, "big") % shards
 
 
-def jump(key: str, shards: int) -> int:
+def jump_hash(key: str, shards: int) -> int:
     """Return which of ``shards`` parts a key belongs to, so that one part more moves few keys.
 
     Jump consistent hashing: of ``n`` keys, about ``n / shards`` move when ``shards`` grows to that
--- a/src/medlarfork/replica/_disk_writer.py
+++ b/src/medlarfork/replica/_disk_writer.py
@@ -38,7 +38,7 @@
         self._journal = target
         self._on_synced = on_synced
         self._on_failed = on_failed
-        self._waiting: collections.deque[Write] = collections.deque()
+        self._queue: collections.deque[Write] = collections.deque()
         self._wakeup = curio.Event()
         self._task: curio.Task | None = None
 
@@ -48,21 +48,21 @@
 
     async def close(self) -> None:
         """Stop; a write under way is finished first, and what waits is dropped."""
-        self._waiting.clear()
+        self._queue.clear()
         if self._task is not None:
             await self._task.cancel()
             self._task = None
 
     async def write(self, action: Write) -> None:
         """Let a write wait for its turn."""
-        self._waiting.append(action)
+        self._queue.append(action)
         await self._wakeup.set()
 
     async def _run(self) -> None:
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
-            while self._waiting:
+            while self._queue:
                 try:
                     # A cancelled thread would go on writing after the files are closed.
                     async with curio.disable_cancellation():
@@ -74,24 +74,26 @@
 
     async def _write_next(self) -> int:
         """Write what may share a sync and return the last one's token."""
-        action = self._waiting.popleft()
+        action = self._queue.popleft()
         if isinstance(action, replica_types.SaveSnapshot):
-            await self._until_room(self._journal.save_snapshot, action.snapshot, action.records)
+            await self._retry_while_full(
+                self._journal.save_snapshot, action.snapshot, action.records
+            )
             return action.token
         records = list(action.records)
         token = action.token
-        while self._waiting and isinstance(self._waiting[0], node.Persist):
-            following = self._waiting.popleft()
+        while self._queue and isinstance(self._queue[0], node.Persist):
+            following = self._queue.popleft()
             assert isinstance(following, node.Persist)
             records.extend(following.records)
             token = following.token
-        await self._until_room(self._journal.append_and_sync, records)
+        await self._retry_while_full(self._journal.append_and_sync, records)
         return token
 
-    async def _until_room(self, write: Callable[..., None], *arguments: object) -> None:
+    async def _retry_while_full(self, write: Callable[..., None], *arguments: object) -> None:
         """Perform a write; while the disk is full, nothing is reported as synced."""
         is_full = False
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         while True:
             try:
                 await curio.run_in_thread(write, *arguments)
@@ -101,7 +103,7 @@
                 is_full = True
                 await curio.sleep(FULL_RETRY_S)
             else:
-                took_s = time.monotonic() - began_at
+                took_s = time.monotonic() - started_at
                 if is_full:
                     logs.event(_log, "disk_has_room")
                 elif took_s > SLOW_S:
--- a/src/medlarfork/replica/_replica_founding.py
+++ b/src/medlarfork/replica/_replica_bootstrap.py
@@ -18,7 +18,7 @@
 """Index of the first membership."""
 
 
-class Founding:
+class Bootstrap:
     """Carry out the founder's part and answer it."""
 
     def __init__(
@@ -28,24 +28,24 @@
         self._state = state
         self._voter_ids = tuple(sorted(set(initial_voters.voters)))
         self._disk_by_id: dict[str, int] = {}
-        self._ask_due = -math.inf
+        self._request_due = -math.inf
 
     @property
     def due(self) -> float:
         """Return when ``on_due`` has something to do."""
-        return self._ask_due if self._is_founder_of_nothing() else math.inf
+        return self._request_due if self._is_pending_founder() else math.inf
 
     def on_due(self) -> None:
         """Ask the replicas that have not accepted yet, or found the log."""
         state = self._state
         if state.now < self.due:
             return
-        self._ask_due = state.now + state.options.election_timeout_min_s
+        self._request_due = state.now + state.options.election_timeout_min_s
         request = _replica_messages.FoundRequest(state.me.disk_id)
         for voter_id in self._voter_ids:
             if voter_id != state.me.replica_id:
                 state.send(voter_id, request)
-        self._found_if_unanimous()
+        self._bootstrap_if_unanimous()
 
     def on_request(self, sender: str, request: _replica_messages.FoundRequest) -> None:
         """Bind this disk to the founder if it is empty, and accept if it is bound to it."""
@@ -62,19 +62,19 @@
 
     def on_reply(self, sender: str, reply: _replica_messages.FoundReply) -> None:
         """Note an acceptance."""
-        if reply.founder_disk_id != self._state.me.disk_id or not self._is_founder_of_nothing():
+        if reply.founder_disk_id != self._state.me.disk_id or not self._is_pending_founder():
             return
         self._disk_by_id[sender] = reply.disk_id
-        self._found_if_unanimous()
+        self._bootstrap_if_unanimous()
 
     def _is_empty(self) -> bool:
         return self._state.membership is None and self._state.term == 0
 
-    def _is_founder_of_nothing(self) -> bool:
+    def _is_pending_founder(self) -> bool:
         is_founder = self._voter_ids[:1] == (self._state.me.replica_id,)
         return is_founder and self._is_empty()
 
-    def _found_if_unanimous(self) -> None:
+    def _bootstrap_if_unanimous(self) -> None:
         state = self._state
         self._disk_by_id[state.me.replica_id] = state.me.disk_id
         if any(voter_id not in self._disk_by_id for voter_id in self._voter_ids):
--- a/src/medlarfork/replica/_replica_compaction.py
+++ b/src/medlarfork/replica/_replica_compaction.py
@@ -11,23 +11,23 @@
     def __init__(self, state: _replica_state.ReplicaState) -> None:
         """Start with no snapshot asked for."""
         self._state = state
-        self._is_asked = False
+        self._is_requested = False
         self._saved_by_sequence = 0
 
-    def ask_if_due(self) -> None:
+    def request_if_due(self) -> None:
         """Ask for a snapshot if enough was applied since the last one, which must be on disk."""
         state = self._state
-        if self._is_asked or self._saved_by_sequence > state.disk.synced:
+        if self._is_requested or self._saved_by_sequence > state.disk.synced:
             return
         snapshot_index = 0 if state.snapshot is None else state.snapshot.index
         if state.applied_index - snapshot_index >= state.options.snapshot_every_entries:
-            self._is_asked = True
+            self._is_requested = True
             state.actions.append(replica_types.TakeSnapshot(state.applied_index))
 
-    def on_taken(self, event: replica_types.SnapshotTaken) -> None:
+    def on_snapshot_taken(self, event: replica_types.SnapshotTaken) -> None:
         """Save the snapshot, unless a later one came from the leader meanwhile."""
         state = self._state
-        self._is_asked = False
+        self._is_requested = False
         is_old = state.snapshot is not None and event.index <= state.snapshot.index
         if is_old or event.index > state.applied_index:
             return
--- a/src/medlarfork/replica/_replica_election.py
+++ b/src/medlarfork/replica/_replica_election.py
@@ -78,7 +78,7 @@
         return True
     if request.transferred or request.unled:
         return False
-    return state.role is replica_types.Role.LEADER or state.holds_votes
+    return state.role is replica_types.Role.LEADER or state.withholds_votes
 
 
 def answer(
@@ -119,4 +119,4 @@
 def _may_vote(state: _replica_state.ReplicaState) -> bool:
     if state.membership is None:
         return state.founder_disk_id != 0
-    return any(state.me in membership.members for membership in state.standing)
+    return any(state.me in membership.members for membership in state.active_memberships)
--- a/src/medlarfork/replica/_replica_follower.py
+++ b/src/medlarfork/replica/_replica_follower.py
@@ -32,7 +32,7 @@
         if not is_known_to_match and state.log.term_at(previous) != request.previous_term:
             self._reply(leader_id, request.sent_at, matched=False)
             return
-        wrote = self._take(request.entries)
+        wrote = self._append_new(request.entries)
         end = previous + len(request.entries)
         self._verified_index = max(self._verified_index, end, state.commit_index)
         state.commit_up_to(min(request.commit_index, self._verified_index))
@@ -47,7 +47,7 @@
             self._reply(leader_id, chunk.sent_at, matched=True)
             return
         next_offset = self._receiver.accept(chunk)
-        data = self._receiver.whole(chunk)
+        data = self._receiver.pop_complete(chunk)
         if data is not None:
             self._install(data)
             self._reply_when_synced(leader_id, chunk.sent_at)
@@ -57,7 +57,7 @@
         )
         self._state.send(leader_id, reply)
 
-    def _take(self, entries: tuple[_replica_records.Entry, ...]) -> bool:
+    def _append_new(self, entries: tuple[_replica_records.Entry, ...]) -> bool:
         """Append what is new, dropping what contradicts it; True if anything was written."""
         state = self._state
         wrote = False
@@ -86,11 +86,11 @@
     def _reply(self, leader_id: str, sent_at: float, *, matched: bool) -> None:
         state = self._state
         durable = min(self._verified_index, state.log.durable_index)
-        last = state.log.last_index if matched else self._meeting_index()
+        last = state.log.last_index if matched else self._retry_index()
         reply = _replica_messages.AppendReply(state.term, state.me, matched, durable, last, sent_at)
         state.send(leader_id, reply)
 
-    def _meeting_index(self) -> int:
+    def _retry_index(self) -> int:
         """Return from where the leader can try again: past it the logs may differ."""
         return self._verified_index
 
--- a/src/medlarfork/replica/_replica_leader.py
+++ b/src/medlarfork/replica/_replica_leader.py
@@ -25,18 +25,18 @@
         self._heartbeat_due = state.now
         self._progress_by_id: dict[str, _replica_progress.Progress] = {}
         self._transfer_to = ""
-        self._transfer_ends = math.inf
+        self._transfer_deadline = math.inf
         self._first_index = state.log.last_index + 1
         self._append(_replica_records.EntryKind.NOOP)
-        self._follow_membership()
+        self._update_followers()
 
     @property
     def due(self) -> float:
         """Return when ``on_due`` has something to do."""
-        return min(self._heartbeat_due, self._transfer_ends)
+        return min(self._heartbeat_due, self._transfer_deadline)
 
     @property
-    def is_over(self) -> bool:
+    def must_step_down(self) -> bool:
         """Say whether this replica must stop leading.
 
         It must when no majority answered for a lease, when a transfer did not succeed (the
@@ -44,7 +44,7 @@
         leaves it out.
         """
         state = self._state
-        if state.now >= self._transfer_ends:
+        if state.now >= self._transfer_deadline:
             return True
         if state.now > max(self._quorum_time(), self._elected_at) + state.options.lease_s:
             return True
@@ -70,12 +70,12 @@
         """Append a membership with one replica more or fewer."""
         membership = _replica_membership.changed(self._state.membership, event)
         is_ready = not self._transfer_to and self._may_change_membership()
-        if membership is None or not is_ready or not self._is_borne(membership):
+        if membership is None or not is_ready or not self._has_live_quorum(membership):
             self._refuse(event.proposal_id)
             return
         self._append_membership(membership, event.proposal_id)
 
-    def _is_borne(self, membership: _replica_records.Membership) -> bool:
+    def _has_live_quorum(self, membership: _replica_records.Membership) -> bool:
         """Say whether enough voters of a membership answer for it to commit anything.
 
         Else nobody could be elected once this leader is lost: a sound voter was let go while
@@ -103,8 +103,8 @@
             return
         target = max(targets, key=lambda progress: progress.match_index)
         self._transfer_to = target.member.replica_id
-        self._transfer_ends = state.now + state.options.election_timeout_max_s
-        self._hurry(target)
+        self._transfer_deadline = state.now + state.options.election_timeout_max_s
+        self._request_campaign(target)
 
     def on_due(self) -> None:
         """Send heartbeats if it is time."""
@@ -116,7 +116,7 @@
 
     def on_append_reply(self, sender: str, reply: _replica_messages.AppendReply) -> None:
         """Take in how far a follower is."""
-        progress = self._heard_from(sender, reply)
+        progress = self._accept_reply(sender, reply)
         if progress is None:
             return
         if not reply.matched:
@@ -128,11 +128,11 @@
             progress.transfer = None
         self._promote_if_caught_up(progress)
         if sender == self._transfer_to:
-            self._hurry(progress)
+            self._request_campaign(progress)
 
     def on_chunk_reply(self, sender: str, reply: _replica_messages.SnapshotChunkReply) -> None:
         """Send the next piece of a snapshot."""
-        progress = self._heard_from(sender, reply)
+        progress = self._accept_reply(sender, reply)
         if progress is None or progress.transfer is None:
             return
         if progress.transfer.advance(reply):
@@ -202,7 +202,7 @@
     ) -> None:
         kind = _replica_records.EntryKind.MEMBERSHIP
         self._append(kind, membership=membership, proposal_id=proposal_id)
-        self._follow_membership()
+        self._update_followers()
 
     def _may_change_membership(self) -> bool:
         """Say whether no change is open and this term has committed an entry.
@@ -212,7 +212,7 @@
         needed = max(self._first_index, self._state.log.membership_index)
         return self._state.commit_index >= needed
 
-    def _follow_membership(self) -> None:
+    def _update_followers(self) -> None:
         """Keep a progress for every other member, on the disk that the membership names."""
         state = self._state
         old_progress_by_id = self._progress_by_id
@@ -225,7 +225,7 @@
                 progress = _replica_progress.Progress(member, state.log.last_index, state.now)
             self._progress_by_id[member.replica_id] = progress
 
-    def _heard_from(
+    def _accept_reply(
         self,
         sender: str,
         reply: _replica_messages.AppendReply | _replica_messages.SnapshotChunkReply,
@@ -274,7 +274,7 @@
         if is_close and self._may_change_membership():
             self._append_membership(state.membership.with_voter(progress.member))
 
-    def _hurry(self, target: _replica_progress.Progress) -> None:
+    def _request_campaign(self, target: _replica_progress.Progress) -> None:
         """Tell the transfer's target to campaign once it holds the whole log."""
         if target.match_index == self._state.log.last_index:
             message = _replica_messages.TimeoutNow(self._state.term)
@@ -283,9 +283,9 @@
     def _send_heartbeat(self, replica_id: str, progress: _replica_progress.Progress) -> None:
         """Send a message without entries, and a piece of a snapshot again if it seems lost."""
         state = self._state
-        patience = state.options.election_timeout_min_s
-        if progress.transfer is not None and state.now > progress.transfer.sent_at + patience:
-            if progress.transfer.has_begun:
+        resend_after_s = state.options.election_timeout_min_s
+        if progress.transfer is not None and state.now > progress.transfer.sent_at + resend_after_s:
+            if progress.transfer.has_started:
                 self._send_chunk(replica_id, progress)
             else:
                 self._start_snapshot(replica_id, progress)
--- a/src/medlarfork/replica/_replica_records.py
+++ b/src/medlarfork/replica/_replica_records.py
@@ -58,7 +58,7 @@
         rest = self.without(member.replica_id)
         return Membership((*rest.voters, member), rest.learners)
 
-    def names(self) -> replica_types.Voters:
+    def to_voters(self) -> replica_types.Voters:
         """Return the ids alone, sorted."""
         return replica_types.Voters(
             voters=tuple(sorted(member.replica_id for member in self.voters)),
--- a/src/medlarfork/replica/_replica_restart.py
+++ b/src/medlarfork/replica/_replica_restart_election.py
@@ -15,29 +15,29 @@
 
 from medlarfork.replica import _replica_messages, _replica_records, _replica_state, replica_types
 
-ASK_PERIOD_S = 0.05
+QUESTION_PERIOD_S = 0.05
 """Time between two rounds of questions, in seconds: links to processes that start at the same
 time come up within a tenth of a second of each other."""
 
-ASK_FOR_S = 0.6
+QUESTION_DURATION_S = 0.6
 """How long a replica asks after its start, in seconds: several times what links need to come up.
 One that starts later asks the earlier ones itself."""
 
-STAGGER_S = 0.03
+CAMPAIGN_STAGGER_S = 0.03
 """How much later each further voter campaigns, in seconds: two ways between data centres of a
 region and a sync on a slow disk, so that the first one is not met by others."""
 
 _DENYING_ROLES = (replica_types.Role.FOLLOWER, replica_types.Role.PRE_CANDIDATE)
 
 
-class Restart:
+class RestartElection:
     """Ask the other voters whether any leads, for a while after the start."""
 
     def __init__(self, state: _replica_state.ReplicaState) -> None:
         """Prepare; nothing is asked before ``start``."""
         self._state = state
-        self._until = -math.inf
-        self._ask_due = math.inf
+        self._questions_end = -math.inf
+        self._question_due = math.inf
         self._campaign_due = math.inf
         self._asked_term = 0
         self._denial_by_voter: dict[_replica_records.Member, _replica_messages.LeadDenial] = {}
@@ -45,28 +45,30 @@
     @property
     def due(self) -> float:
         """Return when ``on_due`` has something to do."""
-        return min(self._ask_due, self._campaign_due)
+        return min(self._question_due, self._campaign_due)
 
     def start(self) -> None:
         """Begin to ask, if there are others who vote."""
         state = self._state
-        self._until = state.now + ASK_FOR_S
-        self._ask_due = state.now
+        self._questions_end = state.now + QUESTION_DURATION_S
+        self._question_due = state.now
 
     def stop(self) -> None:
         """Ask no more: a leader is known, or the ordinary election has begun."""
-        self._ask_due = math.inf
+        self._question_due = math.inf
         self._campaign_due = math.inf
 
-    def is_campaign_due(self) -> bool:
+    def on_due(self) -> bool:
         """Ask what is due; return whether this replica is to campaign now."""
         state = self._state
-        is_over = state.now >= self._until or state.leader_id or state.role not in _DENYING_ROLES
+        is_over = (
+            state.now >= self._questions_end or state.leader_id or state.role not in _DENYING_ROLES
+        )
         if is_over or not state.is_voter:
             self.stop()
             return False
-        if state.now >= self._ask_due:
-            self._ask()
+        if state.now >= self._question_due:
+            self._send_questions()
         if self._asked_term != state.term:
             # Left as it is, it would be due at a time that has passed, and wake this without end.
             self._campaign_due = math.inf
@@ -96,29 +98,29 @@
             return
         others = [voter for voter in membership.voters if voter != state.me]
         if all(voter in self._denial_by_voter for voter in others):
-            self._plan(others)
+            self._schedule_campaign(others)
 
-    def _ask(self) -> None:
+    def _send_questions(self) -> None:
         state = self._state
         if self._asked_term != state.term:
             self._asked_term = state.term
             self._denial_by_voter.clear()
             self._campaign_due = math.inf
-        self._ask_due = state.now + ASK_PERIOD_S
+        self._question_due = state.now + QUESTION_PERIOD_S
         for voter in state.membership.voters if state.membership else ():
             if voter != state.me:
                 question = _replica_messages.LeadQuestion(state.term)
                 state.send(voter.replica_id, question)
 
-    def _plan(self, others: list[_replica_records.Member]) -> None:
+    def _schedule_campaign(self, others: list[_replica_records.Member]) -> None:
         """Let those with the longest log campaign, one after the other."""
         own = (self._state.log.last_term, self._state.log.last_index)
-        earlier = 0
+        campaigns_before = 0
         for voter in others:
             denial = self._denial_by_voter[voter]
             their = (denial.last_term, denial.last_index)
             if their > own:
-                self._ask_due = math.inf
+                self._question_due = math.inf
                 return
-            earlier += their == own and voter.replica_id < self._state.me.replica_id
-        self._campaign_due = self._state.now + STAGGER_S * earlier
+            campaigns_before += their == own and voter.replica_id < self._state.me.replica_id
+        self._campaign_due = self._state.now + CAMPAIGN_STAGGER_S * campaigns_before
--- a/src/medlarfork/replica/_replica_snapshot.py
+++ b/src/medlarfork/replica/_replica_snapshot.py
@@ -31,7 +31,7 @@
         self._offset = 0
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Say whether the follower holds a part of it, so that a newer one would not do."""
         return self._offset > 0
 
@@ -75,7 +75,7 @@
             self._data += chunk.data
         return len(self._data)
 
-    def whole(self, chunk: _replica_messages.SnapshotChunk) -> bytes | None:
+    def pop_complete(self, chunk: _replica_messages.SnapshotChunk) -> bytes | None:
         """Return the snapshot once complete, and forget it."""
         if chunk.digest != self._digest or len(self._data) < chunk.total_bytes:
             return None
--- a/src/medlarfork/replica/_replica_state.py
+++ b/src/medlarfork/replica/_replica_state.py
@@ -25,7 +25,7 @@
         me: This replica on this disk.
         founder_disk_id: The founder this disk accepted, 0 if none.
         term_sequence: The disk write that holds the current term and vote.
-        heard_at: When a leader was last heard, or the start: no vote for a lease from then on.
+        leader_heard_at: When a leader was last heard, or the start: no vote for a lease from then on.
         proposal_by_index: The proposals made here that are not applied yet.
     """
 
@@ -40,7 +40,7 @@
         self.options = options
         self.random = random
         self.now = 0.0
-        self.heard_at = 0.0
+        self.leader_heard_at = 0.0
         self.actions: list[Any] = []
         self.role = replica_types.Role.FOLLOWER
         self.leader_id = ""
@@ -73,7 +73,7 @@
         return self.membership is not None and self.me in self.membership.voters
 
     @property
-    def standing(self) -> tuple[_replica_records.Membership, ...]:
+    def active_memberships(self) -> tuple[_replica_records.Membership, ...]:
         """Return the memberships that this replica acts on: the latest, and the one before.
 
         While the latest is not known to be committed, one that it leaves out still votes and may
@@ -89,12 +89,12 @@
     @property
     def may_campaign(self) -> bool:
         """Say whether it votes, or did until a change that may not have been committed."""
-        return any(self.me in membership.voters for membership in self.standing)
+        return any(self.me in membership.voters for membership in self.active_memberships)
 
     @property
-    def holds_votes(self) -> bool:
+    def withholds_votes(self) -> bool:
         """Say whether a leader may still count on this replica not to vote."""
-        return self.now < self.heard_at + self.options.lease_s
+        return self.now < self.leader_heard_at + self.options.lease_s
 
     def send(self, to: str, message: Any, *, after: int = 0) -> None:
         """Send a message once the current term, and the given write, are synced."""
@@ -181,7 +181,7 @@
             )
         elif entry.membership is not None:
             self.actions.append(
-                replica_types.VotersChanged(entry.index, entry.membership.names(), proposal_id)
+                replica_types.VotersChanged(entry.index, entry.membership.to_voters(), proposal_id)
             )
 
     def _replay(self, records: tuple[bytes, ...]) -> int:
--- a/src/medlarfork/replica/journal.py
+++ b/src/medlarfork/replica/journal.py
@@ -70,7 +70,7 @@
         if contents.is_damaged or contents.header is None:
             self._raise_damaged(contents.good_bytes)
         self._open(contents.header.salt, contents.checksum, contents.good_bytes)
-        self._cut_tail(contents.good_bytes)
+        self._truncate_tail(contents.good_bytes)
         return _restored(contents.records, contents.header.has_snapshot)
 
     def close(self) -> None:
@@ -138,7 +138,7 @@
         self._checksum = checksum
         self._synced_bytes = synced_bytes
 
-    def _cut_tail(self, good_bytes: int) -> None:
+    def _truncate_tail(self, good_bytes: int) -> None:
         file = self._writable()
         if file.seek(0, os.SEEK_END) > good_bytes:
             file.truncate(good_bytes)
--- a/src/medlarfork/replica/replica.py
+++ b/src/medlarfork/replica/replica.py
@@ -13,7 +13,7 @@
 vote of B, who refuses a shorter log, and B can't change the membership before C holds the entry
 too. Until the return is complete, all other voters of a log of three are needed for a majority.
 
-**Founding.** Nothing has to be set for the first start; see ``_replica_founding``. All initial
+**Founding.** Nothing has to be set for the first start; see ``_replica_bootstrap``. All initial
 voters must be up for it, and if the founder's disk is lost within that moment, all folders have
 to be emptied. A setting for the first start would be simpler, but left in place it would let
 replicas that lost their disks found a second log beside the first.
@@ -39,14 +39,14 @@
 
 from medlarfork import node
 from medlarfork.replica import (
+    _replica_bootstrap,
     _replica_compaction,
     _replica_election,
     _replica_follower,
-    _replica_founding,
     _replica_leader,
     _replica_messages,
     _replica_options,
-    _replica_restart,
+    _replica_restart_election,
     _replica_state,
     replica_types,
 )
@@ -85,11 +85,11 @@
     ) -> None:
         """Rebuild the replica from its disk; ``initial_voters`` only matter for founding."""
         self._state = _replica_state.ReplicaState(replica_id, restored, random, options)
-        self._founding = _replica_founding.Founding(self._state, initial_voters)
+        self._bootstrap = _replica_bootstrap.Bootstrap(self._state, initial_voters)
         self._follower = _replica_follower.Follower(self._state)
         self._follower.on_new_term()
         self._compaction = _replica_compaction.Compaction(self._state)
-        self._restart = _replica_restart.Restart(self._state)
+        self._restart_election = _replica_restart_election.RestartElection(self._state)
         self._leader: _replica_leader.Leader | None = None
         self._campaign: _replica_election.Campaign | None = None
         self._election_due = math.inf
@@ -108,7 +108,7 @@
             commit_index=state.commit_index,
             applied_index=state.applied_index,
             last_index=state.log.last_index,
-            voters=None if membership is None else membership.names(),
+            voters=None if membership is None else membership.to_voters(),
             is_voter=state.is_voter,
         )
 
@@ -125,10 +125,10 @@
         if not self._is_started:
             return ()
         self._set_time(now)
-        self._stop_leading_if_over()
+        self._step_down_if_required()
         self._dispatch(event)
         self._on_time()
-        self._settle()
+        self._finish_event()
         actions = tuple(self._state.actions)
         self._state.actions.clear()
         return actions
@@ -137,9 +137,9 @@
         state = self._state
         self._is_started = True
         state.now = now
-        state.heard_at = now
-        self._arm_election()
-        self._restart.start()
+        state.leader_heard_at = now
+        self._reset_election_timer()
+        self._restart_election.start()
         if state.snapshot is not None:
             restore = replica_types.RestoreSnapshot(state.snapshot.index, state.snapshot.state)
             state.actions.append(restore)
@@ -149,9 +149,9 @@
         went_back = now < state.now
         state.now = now
         if went_back:
-            state.heard_at = now
+            state.leader_heard_at = now
             self._wake_at = math.inf
-            self._follow("")
+            self._become_follower("")
 
     def _dispatch(self, event: Any) -> None:
         match event:
@@ -163,7 +163,7 @@
                 self._state.disk.on_synced(token)
                 self._state.log.sync_up_to(self._state.disk.synced)
             case replica_types.SnapshotTaken():
-                self._compaction.on_taken(event)
+                self._compaction.on_snapshot_taken(event)
             case replica_types.Propose(proposal_id=proposal_id, command=command):
                 if self._leader is None:
                     self._refuse(proposal_id)
@@ -189,7 +189,7 @@
                 self._on_lead_question(sender, message)
             case _replica_messages.LeadDenial(term=term):
                 if self._is_current(term):
-                    self._restart.on_denial(message)
+                    self._restart_election.on_denial(message)
             case _replica_messages.AppendRequest():
                 if self._accept_leader(sender, message):
                     self._follower.on_append(sender, message)
@@ -206,15 +206,15 @@
                 if term == self._state.term and self._leader is None and self._state.is_voter:
                     self._campaign_for_vote(transferred=True)
             case _replica_messages.FoundRequest():
-                self._founding.on_request(sender, message)
+                self._bootstrap.on_request(sender, message)
             case _replica_messages.FoundReply():
-                self._founding.on_reply(sender, message)
+                self._bootstrap.on_reply(sender, message)
 
     def _is_current(self, term: int) -> bool:
         """Move on to a later term; say whether a reply of this term still matters."""
         if term > self._state.term:
             self._enter_term(term)
-            self._follow("")
+            self._become_follower("")
             return False
         return True
 
@@ -224,9 +224,9 @@
             return
         if not request.preliminary and request.term > state.term:
             self._enter_term(request.term)
-            self._follow("")
+            self._become_follower("")
         if _replica_election.answer(state, sender, request):
-            self._arm_election()
+            self._reset_election_timer()
 
     def _on_lead_question(self, sender: str, question: _replica_messages.LeadQuestion) -> None:
         """Answer; one that knows no leader moves on to the term that is asked about.
@@ -234,11 +234,11 @@
         A leader that asks has been restarted, so its followers needn't wait for its silence.
         """
         if sender == self._state.leader_id and question.term >= self._state.term:
-            self._follow("")
+            self._become_follower("")
         if question.term > self._state.term and not self._state.leader_id:
             self._enter_term(question.term)
-            self._follow("")
-        self._restart.on_question(sender, question)
+            self._become_follower("")
+        self._restart_election.on_question(sender, question)
 
     def _accept_leader(
         self,
@@ -256,17 +256,17 @@
         is_new = message.term > state.term
         if is_new:
             self._enter_term(message.term)
-        state.heard_at = state.now
+        state.leader_heard_at = state.now
         if is_new or state.role is not replica_types.Role.FOLLOWER or state.leader_id != sender:
-            self._follow(sender)
-        self._arm_election()
+            self._become_follower(sender)
+        self._reset_election_timer()
         return True
 
     def _enter_term(self, term: int) -> None:
         self._state.enter_term(term, None)
         self._follower.on_new_term()
 
-    def _follow(self, leader_id: str) -> None:
+    def _become_follower(self, leader_id: str) -> None:
         """Stop leading or campaigning."""
         state = self._state
         was_leading = self._leader is not None
@@ -275,62 +275,62 @@
         state.become(replica_types.Role.FOLLOWER, leader_id)
         if was_leading:
             state.refuse_open_proposals()
-        self._arm_election()
+        self._reset_election_timer()
 
     def _refuse(self, proposal_id: str) -> None:
         refusal = replica_types.ProposalRefused(proposal_id, self._state.leader_id, uncertain=False)
         self._state.actions.append(refusal)
 
-    def _arm_election(self) -> None:
+    def _reset_election_timer(self) -> None:
         options = self._state.options
         wait = self._state.random.uniform(
             options.election_timeout_min_s, options.election_timeout_max_s
         )
         self._election_due = self._state.now + wait
 
-    def _stop_leading_if_over(self) -> None:
-        if self._leader is not None and self._leader.is_over:
-            self._follow("")
+    def _step_down_if_required(self) -> None:
+        if self._leader is not None and self._leader.must_step_down:
+            self._become_follower("")
 
     def _on_time(self) -> None:
-        self._founding.on_due()
+        self._bootstrap.on_due()
         if self._leader is not None:
-            self._restart.stop()
+            self._restart_election.stop()
             self._leader.on_due()
-        elif self._restart.is_campaign_due():
+        elif self._restart_election.on_due():
             self._campaign_for_vote(unled=True)
         elif self._state.now >= self._election_due:
-            self._on_silence()
+            self._on_election_timeout()
 
-    def _on_silence(self) -> None:
+    def _on_election_timeout(self) -> None:
         """Campaign, or only note that there is no leader if this replica has no vote."""
         state = self._state
         if state.may_campaign:
-            self._arm_election()
+            self._reset_election_timer()
             self._campaign = _replica_election.Campaign(state, preliminary=True)
             return
         if state.leader_id:
-            self._follow("")
-        self._arm_election()
+            self._become_follower("")
+        self._reset_election_timer()
 
     def _campaign_for_vote(self, *, transferred: bool = False, unled: bool = False) -> None:
-        self._arm_election()
+        self._reset_election_timer()
         self._campaign = _replica_election.Campaign(
             self._state, preliminary=False, transferred=transferred, unled=unled
         )
         self._follower.on_new_term()
 
-    def _settle(self) -> None:
+    def _finish_event(self) -> None:
         """Draw every conclusion from the event and hand out what the disk allows."""
         state = self._state
         self._count_votes()
         if self._leader is not None:
             self._leader.advance()
         state.apply()
-        self._compaction.ask_if_due()
+        self._compaction.request_if_due()
         state.actions.extend(state.disk.flush())
         state.actions.extend(state.disk.release())
-        self._wake()
+        self._schedule_wake()
 
     def _count_votes(self) -> None:
         if self._campaign is not None and self._campaign.is_preliminary and self._campaign.is_won:
@@ -341,11 +341,11 @@
             self._leader = _replica_leader.Leader(self._state)
             self._leader.on_due()
 
-    def _wake(self) -> None:
+    def _schedule_wake(self) -> None:
         """Ask for the next event by time unless an earlier one is on its way."""
         state = self._state
         due = self._leader.due if self._leader is not None else self._election_due
-        due = min(due, self._founding.due, self._restart.due)
+        due = min(due, self._bootstrap.due, self._restart_election.due)
         if state.applied_index < state.commit_index:
             due = state.now
         if self._wake_at <= state.now or due < self._wake_at:
--- a/src/medlarfork/routes/route_table.py
+++ b/src/medlarfork/routes/route_table.py
@@ -8,27 +8,27 @@
 class RouteTable:
     """Index one version of the routing; it never changes afterwards."""
 
-    def __init__(self, whole: routing.Routing) -> None:
+    def __init__(self, source: routing.Routing) -> None:
         """Build the index; the routing has been checked."""
-        self.version = whole.version
-        self.service_by_name = {service.name: service for service in whole.services}
-        self.needs_keys = bool(whole.accounts)
+        self.version = source.version
+        self.service_by_name = {service.name: service for service in source.services}
+        self.needs_keys = bool(source.accounts)
         self._account_by_key = {
-            key: account for account in whole.accounts for key in account.api_keys
+            key: account for account in source.accounts for key in account.api_keys
         }
         self._route_by_prefix_by_host: dict[str, dict[str, routing.Route]] = {}
-        for route in whole.routes:
-            of_host = self._route_by_prefix_by_host.setdefault(route.host.lower(), {})
-            of_host[route.path_prefix] = route
+        for route in source.routes:
+            route_by_prefix = self._route_by_prefix_by_host.setdefault(route.host.lower(), {})
+            route_by_prefix[route.path_prefix] = route
 
     def route(self, host: str, path: str) -> routing.Route | None:
         """Return the route of the host with the longest prefix that begins the path."""
-        of_host = self._route_by_prefix_by_host.get(host.partition(":")[0].lower())
-        if of_host is None:
+        route_by_prefix = self._route_by_prefix_by_host.get(host.partition(":")[0].lower())
+        if route_by_prefix is None:
             return None
         end = path.rfind("/") + 1
         while end > 0:
-            found = of_host.get(path[:end])
+            found = route_by_prefix.get(path[:end])
             if found is not None:
                 return found
             end = path.rfind("/", 0, end - 1) + 1
@@ -41,9 +41,9 @@
 
 def choose_target(route: routing.Route, draw: float) -> str:
     """Return the service that a number drawn evenly from 0 to 1 falls to."""
-    rest = draw * sum(target.weight for target in route.targets)
+    remainder = draw * sum(target.weight for target in route.targets)
     for target in route.targets:
-        rest -= target.weight
-        if rest < 0:
+        remainder -= target.weight
+        if remainder < 0:
             return target.service
     return max(route.targets, key=lambda target: target.weight).service
--- a/src/medlarfork/routes/routing.py
+++ b/src/medlarfork/routes/routing.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineFacts:
+class EngineSpec:
     """Describe the model engines of a service.
 
     Attributes:
@@ -139,7 +139,7 @@
     name: str
     health_path: str = "/health"
     max_connections: int = 64
-    engine: EngineFacts | None = None
+    engine: EngineSpec | None = None
     scaling: Scaling | None = None
 
 
--- a/src/medlarfork/routes/routing_check.py
+++ b/src/medlarfork/routes/routing_check.py
@@ -9,39 +9,39 @@
 from medlarfork.routes import routing
 
 
-def check(whole: routing.Routing) -> tuple[str, ...]:
+def check(candidate: routing.Routing) -> tuple[str, ...]:
     """Return what is wrong, one sentence each; nothing if the version can be put in force."""
     return (
-        *_service_faults(whole),
-        *_route_faults(whole),
-        *_shared_places(whole),
-        *_shared_keys(whole),
+        *_service_faults(candidate),
+        *_route_faults(candidate),
+        *_duplicate_routes(candidate),
+        *_shared_keys(candidate),
     )
 
 
-def require_valid(whole: routing.Routing) -> None:
+def require_valid(candidate: routing.Routing) -> None:
     """Refuse a version that can't be put in force.
 
     Raises:
         errors.ConfigurationError: It has faults; the message lists them.
     """
-    faults = check(whole)
+    faults = check(candidate)
     if faults:
         raise errors.ConfigurationError(
             " ".join(faults), remedy="Correct this and send the version again."
         )
 
 
-def _service_faults(whole: routing.Routing) -> Iterator[str]:
-    count_by_name = collections.Counter(service.name for service in whole.services)
+def _service_faults(candidate: routing.Routing) -> Iterator[str]:
+    count_by_name = collections.Counter(service.name for service in candidate.services)
     for name, count in count_by_name.items():
         if count > 1:
             yield f"Service {name!r} is declared {count} times."
 
 
-def _route_faults(whole: routing.Routing) -> Iterator[str]:
-    known = {service.name for service in whole.services}
-    for route in whole.routes:
+def _route_faults(candidate: routing.Routing) -> Iterator[str]:
+    known = {service.name for service in candidate.services}
+    for route in candidate.routes:
         for target in route.targets:
             if target.service not in known:
                 yield f"Route {route.name!r} names the unknown service {target.service!r}."
@@ -55,18 +55,18 @@
             yield f"The path prefix of route {route.name!r} must begin and end with a slash."
 
 
-def _shared_places(whole: routing.Routing) -> Iterator[str]:
-    count_by_place = collections.Counter(
-        (route.host.lower(), route.path_prefix) for route in whole.routes
+def _duplicate_routes(candidate: routing.Routing) -> Iterator[str]:
+    count_by_prefix = collections.Counter(
+        (route.host.lower(), route.path_prefix) for route in candidate.routes
     )
-    for (host, prefix), count in count_by_place.items():
+    for (host, prefix), count in count_by_prefix.items():
         if count > 1:
             yield f"{count} routes share the host {host!r} and the path prefix {prefix!r}."
 
 
-def _shared_keys(whole: routing.Routing) -> Iterator[str]:
+def _shared_keys(candidate: routing.Routing) -> Iterator[str]:
     owner_by_key: dict[str, str] = {}
-    for account in whole.accounts:
+    for account in candidate.accounts:
         for key in account.api_keys:
             owner = owner_by_key.setdefault(key, account.name)
             if owner != account.name:
--- a/src/medlarfork/routes/routing_format.py
+++ b/src/medlarfork/routes/routing_format.py
@@ -20,10 +20,10 @@
     try:
         return msgspec.json.decode(body, type=routing.Routing)
     except msgspec.MsgspecError as error:
-        raise unreadable(error) from error
+        raise decode_error(error) from error
 
 
-def unreadable(cause: Exception) -> errors.ConfigurationError:
+def decode_error(cause: Exception) -> errors.ConfigurationError:
     """Return the error for a version of the routing that can't be read."""
     return errors.ConfigurationError(
         f"The routing can't be read in full: {cause}.", remedy="Correct this and send it again."
--- a/src/medlarfork/runner.py
+++ b/src/medlarfork/runner.py
@@ -24,13 +24,13 @@
 
     def __init__(
         self,
-        driven: node.Node,
+        driven_node: node.Node,
         *,
         perform: Callable[[Any], Awaitable[None]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """Wire the node to ``perform``, which gets every action but ``node.Wake``."""
-        self._node = driven
+        self._node = driven_node
         self._perform = perform
         self._clock = clock
         self._actions: collections.deque[Any] = collections.deque()
@@ -69,7 +69,7 @@
         while True:
             await self._sleep()
             if self._wakes and self._wakes[0] <= self._clock():
-                self._drop_due()
+                self._pop_due()
                 await self.post(node.TimeDue())
 
     async def _sleep(self) -> None:
@@ -83,7 +83,7 @@
         if delay > 0:
             await curio.ignore_after(delay, self._earlier_wake.wait)
 
-    def _drop_due(self) -> None:
+    def _pop_due(self) -> None:
         now = self._clock()
         while self._wakes and self._wakes[0] <= now:
             heapq.heappop(self._wakes)
--- a/src/medlarfork/settings/_settings_flag.py
+++ b/src/medlarfork/settings/_settings_flag.py
@@ -27,15 +27,15 @@
     flags.DEFINE_string("settings", "", "TOML file with the settings.", flag_values=values)
     flags.DEFINE_bool("help", False, "Show this text.", short_name="h", flag_values=values)
     try:
-        left = values(sys.argv)
+        remaining = values(sys.argv)
     except flags.Error as error:
         raise errors.SettingsError(f"{error}.", remedy="See --help.") from error
     if values["help"].value:
         print(f"{program} --settings=FILE\n\n{kind.__doc__}")
         raise SystemExit(0)
-    if len(left) > 1:
+    if len(remaining) > 1:
         raise errors.SettingsError(
-            f"The argument {left[1]!r} is not understood.", remedy="See --help."
+            f"The argument {remaining[1]!r} is not understood.", remedy="See --help."
         )
     if not values["settings"].value:
         raise errors.SettingsError(
--- a/src/medlarfork/settings/_toml_convert.py
+++ b/src/medlarfork/settings/_toml_convert.py
@@ -27,11 +27,11 @@
     remedy: str
 
 
-class _NotBuiltError(Exception):
+class _ConversionFailedError(Exception):
     """Signal that a value can't be built; its faults have been noted."""
 
 
-_TOML_NAME = {
+_TOML_TYPE_NAME = {
     str: "text in quotes",
     int: "a whole number",
     float: "a number",
@@ -62,7 +62,7 @@
     converter = _Converter()
     try:
         value = converter.data_class(table, kind, ())
-    except _NotBuiltError:
+    except _ConversionFailedError:
         value = None
     return Conversion(value, tuple(converter.faults), tuple(converter.dropped))
 
@@ -80,7 +80,7 @@
         fields = _field_by_key(kind)
         for key in table:
             if key not in fields:
-                self._note((*path, key), "unknown key", _unknown_remedy(key, fields))
+                self._record_fault((*path, key), "unknown key", _unknown_remedy(key, fields))
         arguments: dict[str, Any] = {}
         complete = True
         for key, field in fields.items():
@@ -88,18 +88,18 @@
                 if key in table:
                     arguments[field.name] = self._field(table[key], kind, field, (*path, key))
                 elif _required(field):
-                    remedy = f"Add it as {_example(_hints(kind)[field.name])}."
+                    remedy = f"Add it as {_example(_type_hints(kind)[field.name])}."
                     self._fail((*path, key), "missing key", remedy)
-            except _NotBuiltError:
+            except _ConversionFailedError:
                 complete = complete and not _required(field)
         if not complete:
-            raise _NotBuiltError
+            raise _ConversionFailedError
         return kind(**arguments)
 
     def _field(
         self, value: Any, kind: type, field: dataclasses.Field[Any], path: _toml_lines.Path
     ) -> Any:
-        converted = self._value(value, _hints(kind)[field.name], path)
+        converted = self._value(value, _type_hints(kind)[field.name], path)
         self._check_range(converted, field, path)
         return converted
 
@@ -113,19 +113,19 @@
         if origin is dict:
             table = self._checked(value, dict, path)
             item_kind = typing.get_args(kind)[1]
-            return self._all(table.items(), item_kind, path)
+            return self._convert_each(table.items(), item_kind, path)
         if dataclasses.is_dataclass(kind):
             return self.data_class(value, typing.cast(type, kind), path)
         return self._scalar(value, kind, path)
 
     def _tuple(self, value: Any, kind: Any, path: _toml_lines.Path) -> tuple[Any, ...]:
         items = self._checked(value, list, path)
-        built = self._all(enumerate(items), kind, path)
+        built = self._convert_each(enumerate(items), kind, path)
         if len(built) < len(items) and not dataclasses.is_dataclass(kind):
-            raise _NotBuiltError
+            raise _ConversionFailedError
         return tuple(built.values())
 
-    def _all(
+    def _convert_each(
         self, items: Iterable[tuple[Any, Any]], kind: Any, path: _toml_lines.Path
     ) -> dict[Any, Any]:
         """Convert each item on its own, so that one that is wrong doesn't hide the next."""
@@ -133,7 +133,7 @@
         for key, item in items:
             try:
                 built[key] = self._value(item, kind, (*path, key))
-            except _NotBuiltError:
+            except _ConversionFailedError:
                 self.dropped.append((*path, key))
         return built
 
@@ -163,8 +163,8 @@
         # An exact comparison, since True would pass for a whole number.
         if type(value) is kind:
             return value
-        found = _TOML_NAME.get(type(value), f"a {type(value).__name__}")
-        wanted = _TOML_NAME.get(kind, kind.__name__)
+        found = _TOML_TYPE_NAME.get(type(value), f"a {type(value).__name__}")
+        wanted = _TOML_TYPE_NAME.get(kind, kind.__name__)
         return self._fail(path, f"is {found}, not {wanted}", f"Write {_example(kind)}.")
 
     def _check_range(
@@ -180,16 +180,16 @@
             remedy = f"Write a number {_range_text(minimum, maximum)}."
             self._fail(path, f"{value} is out of range", remedy)
 
-    def _note(self, path: _toml_lines.Path, problem: str, remedy: str) -> None:
+    def _record_fault(self, path: _toml_lines.Path, problem: str, remedy: str) -> None:
         self.faults.append(Fault(path, problem, remedy))
 
     def _fail(self, path: _toml_lines.Path, problem: str, remedy: str) -> Any:
-        self._note(path, problem, remedy)
-        raise _NotBuiltError
+        self._record_fault(path, problem, remedy)
+        raise _ConversionFailedError
 
 
 @functools.cache
-def _hints(kind: type) -> dict[str, Any]:
+def _type_hints(kind: type) -> dict[str, Any]:
     return typing.get_type_hints(kind)
 
 
@@ -232,4 +232,4 @@
         return "a path in quotes"
     if origin is dict or dataclasses.is_dataclass(kind):
         return "a table"
-    return _TOML_NAME.get(kind, str(kind))
+    return _TOML_TYPE_NAME.get(kind, str(kind))
--- a/src/medlarfork/settings/_toml_lines.py
+++ b/src/medlarfork/settings/_toml_lines.py
@@ -36,7 +36,7 @@
             if header:
                 table = self._table(header, line)
             else:
-                self._note((*table, *_key(statement)), line)
+                self._record_line((*table, *_key(statement)), line)
 
     def line(self, path: Path) -> int:
         """Return the line of the path, or of the nearest thing around it that has one."""
@@ -51,11 +51,11 @@
         if header[1] == "[[":
             index = self._count_by_array[path]
             self._count_by_array[path] += 1
-            self._note(path, line)
+            self._record_line(path, line)
             path = (*path, index)
         elif self._count_by_array[path]:
             path = (*path, self._count_by_array[path] - 1)
-        self._note(path, line)
+        self._record_line(path, line)
         return path
 
     def _resolve(self, keys: tuple[str, ...]) -> Path:
@@ -67,7 +67,7 @@
                 path = (*path, self._count_by_array[path] - 1)
         return path
 
-    def _note(self, path: Path, line: int) -> None:
+    def _record_line(self, path: Path, line: int) -> None:
         self._line_by_path.setdefault(path, line)
 
 
--- a/src/medlarfork/settings/planner_settings.py
+++ b/src/medlarfork/settings/planner_settings.py
@@ -35,6 +35,6 @@
     drift: float = 0.01
 
     @property
-    def order_time_s(self) -> float:
+    def order_expiry_s(self) -> float:
         """Return what a clock must measure for ``max_order_s`` to have passed for sure."""
         return self.max_order_s * (1 + self.drift)
--- a/src/medlarfork/settings/program_exit.py
+++ b/src/medlarfork/settings/program_exit.py
@@ -11,7 +11,7 @@
 USAGE_STATUS = 2
 """Exit status of a program that can't start from what it was given."""
 
-START_STATUS = 1
+START_FAILURE_STATUS = 1
 """Exit status of a program whose disk, keys or links can't be used."""
 
 
@@ -25,4 +25,4 @@
         raise SystemExit(USAGE_STATUS) from error
     except (errors.DamagedJournalError, errors.JournalError, errors.LinkError) as error:
         print(error, file=sys.stderr)
-        raise SystemExit(START_STATUS) from error
+        raise SystemExit(START_FAILURE_STATUS) from error
--- a/src/medlarfork/standin/_standin_batch.py
+++ b/src/medlarfork/standin/_standin_batch.py
@@ -10,10 +10,10 @@
 from medlarfork import errors
 from medlarfork.standin import _standin_cache, _standin_faults, _standin_slots, _standin_text
 
-_HIT_SHARE = 0.2
+_CACHE_HIT_FACTOR = 0.2
 """Share of the first token's time that is left when the prompt's prefix is cached."""
 
-_EXECUTIONS_KEPT = 100_000
+_MAX_COUNTED_REQUESTS = 100_000
 """Requests whose executions are remembered."""
 
 
@@ -115,7 +115,7 @@
 
     def _first_token_s(self, job: Job) -> float:
         hit = self._cache.use(job.prefix, time.monotonic())
-        return self._options.first_token_s * (_HIT_SHARE if hit else 1.0)
+        return self._options.first_token_s * (_CACHE_HIT_FACTOR if hit else 1.0)
 
     def _token_s(self) -> float:
         others = max(0, self.slots.running - 1)
@@ -132,5 +132,5 @@
         if not request_id:
             return
         self.executions[request_id] = self.executions.get(request_id, 0) + 1
-        if len(self.executions) > _EXECUTIONS_KEPT:
+        if len(self.executions) > _MAX_COUNTED_REQUESTS:
             self.executions.popitem(last=False)
--- a/src/medlarfork/standin/_standin_cache.py
+++ b/src/medlarfork/standin/_standin_cache.py
@@ -6,10 +6,10 @@
 
 from medlarfork import upstream
 
-_LOST_EVERY = 7
+_LOSS_INTERVAL = 7
 """Every so many events one is never reported."""
 
-_PENDING_LIMIT = 1000
+_MAX_PENDING = 1000
 """Events that wait to be reported; the oldest are lost beyond this."""
 
 
@@ -27,7 +27,7 @@
         self._lag_s = lag_s
         self._prefixes: collections.OrderedDict[str, None] = collections.OrderedDict()
         self._pending: collections.deque[tuple[float, upstream.CacheEvent]] = collections.deque(
-            maxlen=_PENDING_LIMIT
+            maxlen=_MAX_PENDING
         )
         self._number = 0
 
@@ -42,10 +42,10 @@
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         if not hit:
-            self._note(upstream.CacheChange.STORED, prefix, now)
+            self._record_change(upstream.CacheChange.STORED, prefix, now)
         if len(self._prefixes) > self._limit:
             evicted, _ = self._prefixes.popitem(last=False)
-            self._note(upstream.CacheChange.EVICTED, evicted, now)
+            self._record_change(upstream.CacheChange.EVICTED, evicted, now)
         return hit
 
     def take_events(self, now: float) -> tuple[upstream.CacheEvent, ...]:
@@ -55,7 +55,7 @@
             due.append(self._pending.popleft()[1])
         return tuple(due)
 
-    def _note(self, change: upstream.CacheChange, prefix: str, now: float) -> None:
+    def _record_change(self, change: upstream.CacheChange, prefix: str, now: float) -> None:
         self._number += 1
-        if self._number % _LOST_EVERY:
+        if self._number % _LOSS_INTERVAL:
             self._pending.append((now, upstream.CacheEvent(self._number, change, prefix)))
--- a/src/medlarfork/standin/_standin_faults.py
+++ b/src/medlarfork/standin/_standin_faults.py
@@ -72,11 +72,11 @@
         """
         names = {field.name for field in dataclasses.fields(Faults)}
         try:
-            given = msgspec.json.decode(body, type=dict[str, Any])
-            unknown = sorted(set(given) - names)
+            fault_values = msgspec.json.decode(body, type=dict[str, Any])
+            unknown = sorted(set(fault_values) - names)
             if unknown:
                 raise _malformed(f"{unknown[0]} is no fault")
-            self.faults = msgspec.convert(given, Faults)
+            self.faults = msgspec.convert(fault_values, Faults)
         except msgspec.MsgspecError as error:
             raise _malformed(str(error)) from error
         self._frozen_until = time.monotonic() + self.faults.freeze_s
--- a/src/medlarfork/standin/_standin_flags.py
+++ b/src/medlarfork/standin/_standin_flags.py
@@ -40,16 +40,16 @@
     """
     values = _define(kind)
     try:
-        left = values(arguments)
+        remaining = values(arguments)
     except flags.Error as error:
         raise errors.SettingsError(f"{error}.", remedy="See --help.") from error
-    if len(left) > 1:
+    if len(remaining) > 1:
         raise errors.SettingsError(
-            f"The argument {left[1]!r} is not understood.", remedy="See --help."
+            f"The argument {remaining[1]!r} is not understood.", remedy="See --help."
         )
     file = values[SETTINGS_FLAG].value
     base = settings.load(pathlib.Path(file), kind) if file else kind()
-    return dataclasses.replace(base, **_given(kind, values))
+    return dataclasses.replace(base, **_flag_values(kind, values))
 
 
 def main_arguments(kind: type[Any], program: str) -> list[str]:
@@ -93,7 +93,7 @@
         flags.DEFINE_list(name, None, text, values)
 
 
-def _given(kind: type[Any], values: flags.FlagValues) -> dict[str, Any]:
+def _flag_values(kind: type[Any], values: flags.FlagValues) -> dict[str, Any]:
     hints = get_type_hints(kind)
     given = {}
     for field in dataclasses.fields(kind):
--- a/src/medlarfork/standin/_standin_host.py
+++ b/src/medlarfork/standin/_standin_host.py
@@ -98,30 +98,30 @@
     start: Callable[[], Awaitable[None]], host: StandinHost, name: str
 ) -> None:
     """Run a stand-in until SIGTERM or SIGINT, then stop it gracefully."""
-    told_to_stop = _stop_signal.StopSignal()
-    told_to_stop.start()
+    stop_signal = _stop_signal.StopSignal()
+    stop_signal.start()
     await start()
     print(f"event=listening name={name} address={host.address}", flush=True)
-    await told_to_stop.wait()
+    await stop_signal.wait()
     await host.stop()
-    told_to_stop.close()
+    stop_signal.close()
     print(f"event=stopped name={name}", flush=True)
 
 
-async def run_while_wanted(
+async def run_until_disconnect(
     exchange: http_server.Exchange, work: Callable[[], Awaitable[None]]
 ) -> None:
     """Run work until it ends, or cancel it when the caller goes away."""
     async with curio.TaskGroup(wait=any) as group:
-        worker = await group.spawn(_until_caller_gone, work)
+        worker = await group.spawn(_ignore_disconnect, work)
         await group.spawn(exchange.wait_caller_gone)
     if worker is group.completed:
         _ = worker.result
 
 
-async def _until_caller_gone(work: Callable[[], Awaitable[None]]) -> None:
+async def _ignore_disconnect(work: Callable[[], Awaitable[None]]) -> None:
     """Run work; a caller that leaves while it is written to is no failure of the task."""
-    with contextlib.suppress(errors.CallerGoneError):
+    with contextlib.suppress(errors.CallerDisconnectedError):
         await work()
 
 
--- a/src/medlarfork/standin/_standin_lag.py
+++ b/src/medlarfork/standin/_standin_lag.py
@@ -7,18 +7,18 @@
 
 from medlarfork import upstream
 
-_SAMPLES = 1000
+_MAX_SAMPLES = 1000
 """Most loads kept; under more requests than that within the lag, the lag is shorter."""
 
 
-class LoadLag:
+class DelayedLoad:
     """Keep samples of the load and report an old one."""
 
     def __init__(self, lag_s: float) -> None:
         """Report loads that are at least ``lag_s`` seconds old."""
         self._lag_s = lag_s
         self._samples: collections.deque[tuple[float, upstream.Load]] = collections.deque(
-            [(0.0, upstream.Load())], maxlen=_SAMPLES
+            [(0.0, upstream.Load())], maxlen=_MAX_SAMPLES
         )
 
     def report(self, load: upstream.Load, now: float) -> upstream.Load:
--- a/src/medlarfork/standin/_standin_openai.py
+++ b/src/medlarfork/standin/_standin_openai.py
@@ -25,7 +25,7 @@
     max_completion_tokens: int | None = None
 
     @property
-    def bound(self) -> int | None:
+    def token_limit(self) -> int | None:
         """Return the caller's bound on the answer's tokens."""
         if self.max_completion_tokens is not None:
             return self.max_completion_tokens
--- a/src/medlarfork/standin/_standin_orders.py
+++ b/src/medlarfork/standin/_standin_orders.py
@@ -7,11 +7,11 @@
 from medlarfork import errors
 from medlarfork.orders import order_protocol, order_types
 
-_REMEMBERED = 1_000
+_MAX_ORDERS = 1_000
 """Orders whose ids and counts are kept."""
 
 
-class OrderBook:
+class EngineOrders:
     """Carry orders out; if fencing is checked, refuse outdated ones and repeat none.
 
     An engine that checks no fences stands for one that remembers nothing of its orders.
@@ -45,8 +45,8 @@
     @property
     def weights(self) -> tuple[order_types.LoadedWeights, ...]:
         """Return the weights loaded now, with their versions."""
-        held = self._version_by_name.items()
-        return tuple(order_types.LoadedWeights(name, version) for name, version in held)
+        loaded = self._version_by_name.items()
+        return tuple(order_types.LoadedWeights(name, version) for name, version in loaded)
 
     def begin(self, order: order_protocol.EngineOrder) -> bool:
         """Take an order; return False if it was taken before and has nothing left to do.
@@ -59,7 +59,7 @@
             return False
         self.executing = order.order_id
         self.executions[order.order_id] = self.executions.get(order.order_id, 0) + 1
-        if len(self.executions) > _REMEMBERED:
+        if len(self.executions) > _MAX_ORDERS:
             self.executions.popitem(last=False)
         return True
 
--- a/src/medlarfork/standin/_standin_slots.py
+++ b/src/medlarfork/standin/_standin_slots.py
@@ -16,7 +16,7 @@
     def __init__(self, count: int) -> None:
         """Start with all slots free."""
         self._count = count
-        self._order = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._waiting: list[tuple[int, int, curio.Event]] = []
         self.running = 0
 
@@ -28,33 +28,33 @@
     @contextlib.asynccontextmanager
     async def hold(self, priority: int) -> AsyncIterator[None]:
         """Hold a slot; a lower number is a higher priority."""
-        await self._take(priority)
+        await self._acquire(priority)
         try:
             yield
         finally:
-            await self._give_back()
+            await self._release()
 
-    async def _take(self, priority: int) -> None:
+    async def _acquire(self, priority: int) -> None:
         if self.running < self._count:
             self.running += 1
             return
-        turn = curio.Event()
-        entry = (priority, next(self._order), turn)
+        acquired = curio.Event()
+        entry = (priority, next(self._arrival_numbers), acquired)
         heapq.heappush(self._waiting, entry)
         try:
-            await turn.wait()
+            await acquired.wait()
         except curio.CancelledError:
-            if turn.is_set():
-                await self._give_back()
+            if acquired.is_set():
+                await self._release()
             else:
                 self._waiting.remove(entry)
                 heapq.heapify(self._waiting)
             raise
 
-    async def _give_back(self) -> None:
+    async def _release(self) -> None:
         """Pass the slot on to the next in line, or free it."""
         if self._waiting:
-            _, _, turn = heapq.heappop(self._waiting)
-            await turn.set()
+            _, _, acquired = heapq.heappop(self._waiting)
+            await acquired.set()
         else:
             self.running -= 1
--- a/src/medlarfork/standin/_standin_text.py
+++ b/src/medlarfork/standin/_standin_text.py
@@ -16,10 +16,10 @@
 _TOKEN_DIGITS = 6
 """Hexadecimal digits of a token."""
 
-_SHORTEST = 8
+_MIN_TOKENS = 8
 """Tokens of the shortest answer whose length is made up."""
 
-_SPREAD = 120
+_LENGTH_COUNT = 120
 """How many lengths such an answer may have."""
 
 _LENGTH = re.compile(r"\[tokens=(\d{1,6})\]")
@@ -55,11 +55,11 @@
     """
     prompt = msgspec.json.encode((model, messages), order="deterministic").decode()
     digest = _hash(prompt)
-    asked = _LENGTH.search(prompt)
-    natural = int(asked[1]) if asked else _SHORTEST + int(digest[:4], 16) % _SPREAD
-    if max_tokens is not None and max_tokens < natural:
+    requested = _LENGTH.search(prompt)
+    length = int(requested[1]) if requested else _MIN_TOKENS + int(digest[:4], 16) % _LENGTH_COUNT
+    if max_tokens is not None and max_tokens < length:
         return Answer(digest, max_tokens, "length")
-    return Answer(digest, natural, "stop")
+    return Answer(digest, length, "stop")
 
 
 def prompt_tokens(messages: Any) -> int:
--- a/src/medlarfork/standin/announcer.py
+++ b/src/medlarfork/standin/announcer.py
@@ -13,26 +13,26 @@
 from medlarfork import errors, upstream
 from medlarfork.http import http_client
 
-_TARGETS = 2
+_TARGET_COUNT = 2
 """Entry hosts that hear each announcement: a pool's owner and its standby."""
 
 _POST_TIMEOUT_S = 1.0
 """How long an entry host may take to reply, in seconds."""
 
-_FIRST_PERIOD_S = 0.5
+_INITIAL_PERIOD_S = 0.5
 """Period until a reply names another, in seconds."""
 
-_SHORTEST_PERIOD_S = 0.02
+_MIN_PERIOD_S = 0.02
 """Bounds of the period that a reply may name, in seconds."""
 
-_LONGEST_PERIOD_S = 30.0
-_LEAVE_TRIES = 5
+_MAX_PERIOD_S = 30.0
+_LEAVE_ATTEMPTS = 5
 """How often the leaving is announced if nobody takes note."""
 
-_LEAVE_PAUSE_S = 0.2
+_LEAVE_RETRY_S = 0.2
 """Pause between two such tries, in seconds."""
 
-_ADDRESS_LIMIT = 64
+_MAX_ADDRESSES = 64
 """Most addresses kept of one reply."""
 
 
@@ -65,7 +65,7 @@
         self._incarnation = time.time_ns() // 1_000_000
         self._sequence = itertools.count(1)
         self._targets: tuple[str, ...] = ()
-        self._period_s = _FIRST_PERIOD_S
+        self._period_s = _INITIAL_PERIOD_S
         self._client = http_client.HttpClient()
         self._task: curio.Task | None = None
 
@@ -93,10 +93,10 @@
         """
         await self._stop()
         addresses = tuple(dict.fromkeys((*self._targets, *self._seeds)))
-        for _ in range(_LEAVE_TRIES if addresses else 0):
+        for _ in range(_LEAVE_ATTEMPTS if addresses else 0):
             if await self._post_all(addresses, upstream.UpstreamState.LEAVING):
                 return True
-            await curio.sleep(_LEAVE_PAUSE_S)
+            await curio.sleep(_LEAVE_RETRY_S)
         return not addresses
 
     async def announce(self) -> bool:
@@ -105,13 +105,13 @@
         Returns:
             Whether anybody took note.
         """
-        replies = await self._post_all(self._targets[:_TARGETS], upstream.UpstreamState.READY)
+        replies = await self._post_all(self._targets[:_TARGET_COUNT], upstream.UpstreamState.READY)
         if not replies:
             replies = await self._post_to_seeds()
         if not replies:
             self._targets = ()
             return False
-        self._follow(replies[0])
+        self._apply_reply(replies[0])
         return True
 
     async def _stop(self) -> None:
@@ -137,13 +137,13 @@
         """Post one announcement to several entry hosts at once and return the good replies."""
         if not addresses:
             return []
-        body = msgspec.json.encode(self._next(state))
+        body = msgspec.json.encode(self._next_announcement(state))
         async with curio.TaskGroup() as group:
             for address in addresses:
                 await group.spawn(self._post, address, body)
         return [reply for reply in group.results if reply is not None]
 
-    def _next(self, state: upstream.UpstreamState) -> upstream.Announcement:
+    def _next_announcement(self, state: upstream.UpstreamState) -> upstream.Announcement:
         return dataclasses.replace(
             self._describe(),
             incarnation=self._incarnation,
@@ -172,6 +172,6 @@
         self.failures += 1
         return None
 
-    def _follow(self, reply: upstream.AnnouncementReply) -> None:
-        self._targets = reply.announce_to[:_ADDRESS_LIMIT]
-        self._period_s = min(max(reply.period_s, _SHORTEST_PERIOD_S), _LONGEST_PERIOD_S)
+    def _apply_reply(self, reply: upstream.AnnouncementReply) -> None:
+        self._targets = reply.announce_to[:_MAX_ADDRESSES]
+        self._period_s = min(max(reply.period_s, _MIN_PERIOD_S), _MAX_PERIOD_S)
--- a/src/medlarfork/standin/standin_engine.py
+++ b/src/medlarfork/standin/standin_engine.py
@@ -135,10 +135,10 @@
         self._cache = _standin_cache.PrefixCache(
             limit=options.cache_entries, lag_s=options.cache_lag_s
         )
-        self._orders = _standin_orders.OrderBook(
+        self._orders = _standin_orders.EngineOrders(
             models=options.models, role=options.role, checks_fence=options.checks_fence
         )
-        self._load = _standin_lag.LoadLag(options.load_lag_s)
+        self._load = _standin_lag.DelayedLoad(options.load_lag_s)
         speed = _standin_batch.BatchOptions(
             options.slots, options.first_token_s, options.token_s, options.batch_slowdown
         )
@@ -244,13 +244,13 @@
             problem = f"The model {request.model} is not loaded."
             await _standin_host.respond_error(exchange, 404, problem, errors.Code.MODEL_NOT_FOUND)
             return
-        if self._takes_no_work():
+        if self._refuses_work():
             await _standin_host.refuse(exchange)
             return
         chat = self._accept(exchange, request)
-        await _standin_host.run_while_wanted(exchange, functools.partial(self._compute, chat))
+        await _standin_host.run_until_disconnect(exchange, functools.partial(self._compute, chat))
 
-    def _takes_no_work(self) -> bool:
+    def _refuses_work(self) -> bool:
         full = self._batch.slots.waiting >= self._options.queue_limit
         busy = self._batch.slots.running >= self._options.slots
         return self.host.stopping or self._switches.faults.refuse or (busy and full)
@@ -259,14 +259,16 @@
         self, exchange: http_server.Exchange, request: _standin_openai.ChatRequest
     ) -> _Chat:
         headers = exchange.head.headers
-        answer = _standin_text.answer(request.model, request.messages, request.bound)
-        asked = headers.get(header_names.RESUME_OFFSET.lower(), "")
+        answer = _standin_text.answer(request.model, request.messages, request.token_limit)
+        requested_offset = headers.get(header_names.RESUME_OFFSET.lower(), "")
         priority = headers.get(header_names.PRIORITY.lower(), "")
-        resumes = bool(asked and request.stream) and not self._switches.faults.ignore_resume
+        resumes = (
+            bool(requested_offset and request.stream) and not self._switches.faults.ignore_resume
+        )
         job = _standin_batch.Job(
             request_id=headers.get(header_names.REQUEST_ID.lower(), ""),
             answer=answer,
-            offset=min(_standin_host.to_int(asked, 0), answer.count) if resumes else 0,
+            offset=min(_standin_host.to_int(requested_offset, 0), answer.count) if resumes else 0,
             priority=_standin_host.to_int(priority, _DEFAULT_PRIORITY),
             prefix=parse.prompt_prefix(request.model, request.messages),
         )
--- a/src/medlarfork/standin/standin_service.py
+++ b/src/medlarfork/standin/standin_service.py
@@ -16,10 +16,10 @@
 PROGRAM = "medlar-standin-service"
 """Name of the program."""
 
-_KEPT = 100_000
+_MAX_COUNTED = 100_000
 """Keys and request ids whose executions are remembered."""
 
-_PRIORITY = 0
+_CALL_PRIORITY = 0
 """Priority of every call: slots go to calls in order of arrival."""
 
 
@@ -147,12 +147,12 @@
             case _:
                 with self.host.working():
                     call = functools.partial(self._call, exchange)
-                    await _standin_host.run_while_wanted(exchange, call)
+                    await _standin_host.run_until_disconnect(exchange, call)
 
     async def _call(self, exchange: http_server.Exchange) -> None:
         head = exchange.head
         key = head.headers.get(header_names.KEY.lower(), "")
-        async with self._slots.hold(_PRIORITY):
+        async with self._slots.hold(_CALL_PRIORITY):
             # Counted before the work: a call that is cut half-way has had its effect.
             count = self._execute(key, head.headers.get(header_names.REQUEST_ID.lower(), ""))
             await self._switches.work(self._options.delay_s)
@@ -173,7 +173,7 @@
     if not name:
         return 0
     counts[name] = counts.get(name, 0) + 1
-    if len(counts) > _KEPT:
+    if len(counts) > _MAX_COUNTED:
         counts.popitem(last=False)
     return counts.get(name, 0)
 
--- a/tests/duties/conftest.py
+++ b/tests/duties/conftest.py
@@ -30,7 +30,7 @@
     """Return a factory of services whose engines are scaled."""
 
     def make(**changes):
-        engine = routing.EngineFacts(slots=32, memory_tokens=500_000)
+        engine = routing.EngineSpec(slots=32, memory_tokens=500_000)
         return routing.Service("engines", engine=engine, scaling=make_scaling(**changes))
 
     return make
--- a/tests/entry_world.py
+++ b/tests/entry_harness.py
@@ -175,7 +175,7 @@
         return (claim.Verdict.DONE, answer) if answer else (claim.Verdict.HOLDER_LOST,)
 
 
-class World:
+class EntrySimulation:
     """Run nodes, control and engines on one virtual clock, with a network that may misbehave."""
 
     def __init__(self, entry_ids: tuple[str, ...] = ("e1",), **options: Any) -> None:
@@ -185,7 +185,7 @@
         self.out: list[tuple[str, Any]] = []
         self.seen: list[tuple[float, str, Any, tuple[Any, ...]]] = []
         self.cut: set[str] = set()
-        self.keeps_seen = False
+        self.records_events = False
         self.loss = 0.0
         self.copies = 0.0
         self.delay_s = 0.001
@@ -201,7 +201,7 @@
     def post(self, entry_id: str, event: Any) -> list[Any]:
         """Hand an event to a node and return the actions for outside."""
         actions = self.node_by_id[entry_id].handle(event, self.now)
-        if self.keeps_seen:
+        if self.records_events:
             self.seen.append((self.now, entry_id, event, actions))
         seen = []
         for action in actions:
@@ -230,7 +230,7 @@
         said = announcement(upstream_id, sequence, **more)
         self.post(entry_id, entry_types.AnnouncementReceived(f"call{sequence}", said))
 
-    def take(self, kind: type) -> list[Any]:
+    def pop_actions(self, kind: type) -> list[Any]:
         """Take the actions of one kind that have been returned so far."""
         found = [action for _, action in self.out if isinstance(action, kind)]
         self.out = [pair for pair in self.out if not isinstance(pair[1], kind)]
--- a/tests/processes/test_graceful_stop.py
+++ b/tests/processes/test_graceful_stop.py
@@ -22,7 +22,7 @@
     return stream.done and stream.ended
 
 
-def test_a_stopping_engine_finishes_its_streams_and_is_given_nothing_new(make_deployment, threads):
+def test_a_stopping_engine_finishes_its_streams_and_gets_no_new_requests(make_deployment, threads):
     deployment = make_deployment()
     for name in ("engine-1", "engine-2"):
         deployment.start_engine(name, token_s=0.02)
@@ -84,7 +84,7 @@
 
 # One of the two owns the service's pools, so both its owner and another host are stopped.
 @pytest.mark.parametrize("stopping", OTHER)
-def test_a_stopping_entry_host_is_left_out_first_and_cuts_nothing(
+def test_a_stopping_entry_host_is_unlisted_first_and_cancels_nothing(
     make_deployment, threads, new_key, stopping
 ):
     deployment = make_deployment(entry_settings=f"entries_lifetime_s = {LIFETIME_S}\n")
@@ -120,7 +120,7 @@
     assert callers.chat(other, SHORT).outcome == "completed"
 
 
-def test_a_stopping_control_leader_hands_over_without_refusing_a_claim(
+def test_a_stopping_control_leader_transfers_leadership_without_refusing_a_claim(
     make_deployment, threads, new_key
 ):
     deployment = make_deployment()
--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -83,7 +83,7 @@
     def is_leader(self):
         return self.replica is not None and self.replica.status.role is replica_types.Role.LEADER
 
-    def standing_memberships(self):
+    def active_memberships(self):
         """Return the latest membership its process acts on, and the one its disk would lead to."""
         on_disk = [getattr(record, "membership", None) for record in self.disk.decoded()]
         found = [membership for membership in on_disk if membership is not None][-1:]
@@ -304,7 +304,7 @@
         leaders = [host for host in self.host_by_id.values() if host.is_leader]
         return max(leaders, key=lambda host: host.replica.status.term, default=None)
 
-    def lead(self):
+    def wait_for_leader(self):
         """Run until a leader holds its lease, and return it."""
         self.run_until(lambda: self.lease_holder() is not None)
         return self.lease_holder()
@@ -323,7 +323,7 @@
         """Propose to the leader until it is accepted; leaders may step down meanwhile."""
         for attempt in range(20):
             attempt_id = f"{proposal_id}, attempt {attempt}" if attempt else proposal_id
-            self.propose(self.lead().replica_id, attempt_id, proposal_id.encode())
+            self.propose(self.wait_for_leader().replica_id, attempt_id, proposal_id.encode())
             self.run_until(lambda made=attempt_id: self.is_answered(made))
             if attempt_id in self.accepted_by_id:
                 return self.accepted_by_id[attempt_id]
--- a/tests/routed/placement_helpers.py
+++ b/tests/routed/placement_helpers.py
@@ -3,7 +3,7 @@
 from medlarfork.placement import placement_messages, upstream_load
 from medlarfork.routes import routing
 
-ENGINE = routing.EngineFacts(64, 100_000, event_tokens=5)
+ENGINE = routing.EngineSpec(64, 100_000, event_tokens=5)
 LONG = (("common", 500), ("matter", 5000), ("own", 6000))
 
 
--- a/tests/routed/routed_harness.py
+++ b/tests/routed/routed_harness.py
@@ -80,7 +80,7 @@
                 self.cancelled += 1
             if not exchange.finished:
                 await exchange.abort()
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             self.cancelled += 1
 
 
--- a/tests/routed/test_crash_tracker.py
+++ b/tests/routed/test_crash_tracker.py
@@ -22,7 +22,7 @@
     async def reach(self, address, *, within_s):
         self.probes += 1
         await curio.sleep(0.001)
-        return self.reach_by_address.get(address, http_client.Reach.REFUSES)
+        return self.reach_by_address.get(address, http_client.Reachability.REFUSES)
 
 
 @pytest.fixture
@@ -106,7 +106,7 @@
     async def main():
         for number in range(5):
             where = upstream(make_announcement, number)
-            client.reach_by_address[f"http://{where.address}"] = http_client.Reach.ACCEPTS
+            client.reach_by_address[f"http://{where.address}"] = http_client.Reachability.ACCEPTS
             await break_run_at(tracker, make_admitted(), where)
         assert tracker.standing(KEY).verdict is Verdict.FREE
         assert tracker.cases == 0
@@ -124,7 +124,7 @@
         session.upstream_by_id.clear()
         for number in range(3):
             where = upstream(make_announcement, number)
-            client.reach_by_address[f"http://{where.address}"] = http_client.Reach.ACCEPTS
+            client.reach_by_address[f"http://{where.address}"] = http_client.Reachability.ACCEPTS
             if breaks:
                 await break_run_at(tracker, make_admitted(), where)
             else:
--- a/tests/routed/test_placement.py
+++ b/tests/routed/test_placement.py
@@ -90,7 +90,7 @@
     """While the engine with the prefix was busy, a third of all shared segments were recomputed."""
     service = make_shard_owner(count=2, slots=64)
     service.use_engine(
-        routing.EngineFacts(64, 1_000_000, 5, token_bytes=163_840, link_mbps=260_000.0)
+        routing.EngineSpec(64, 1_000_000, 5, token_bytes=163_840, link_mbps=260_000.0)
     )
     first = placement_helpers.placed(
         service.place("e", make_place_request("a", placement_helpers.LONG, target_ms=1000.0), 0.0)
@@ -126,7 +126,7 @@
 def test_nothing_is_fetched_from_an_engine_that_failed(make_shard_owner, make_place_request):
     service = make_shard_owner(count=2, slots=64)
     service.use_engine(
-        routing.EngineFacts(64, 1_000_000, 5, token_bytes=163_840, link_mbps=260_000.0)
+        routing.EngineSpec(64, 1_000_000, 5, token_bytes=163_840, link_mbps=260_000.0)
     )
     first = placement_helpers.placed(
         service.place("e", make_place_request("a", placement_helpers.LONG), 0.0)
--- a/tests/routed/test_shards.py
+++ b/tests/routed/test_shards.py
@@ -74,7 +74,7 @@
 
 def _index_by_engine(engines):
     count = shard_choice.count(len(engines))
-    return {item.upstream_id: rendezvous.jump(item.upstream_id, count) for item in engines}
+    return {item.upstream_id: rendezvous.jump_hash(item.upstream_id, count) for item in engines}
 
 
 @pytest.mark.parametrize("after", [44, 50, 78])
@@ -99,8 +99,8 @@
 def test_an_added_shard_takes_its_keys_from_all_others_evenly():
     keys = [f"k{n}" for n in range(4000)]
     for count in (1, 2, 5, 11):
-        later = {key: rendezvous.jump(key, count + 1) for key in keys}
-        moved = [key for key in keys if rendezvous.jump(key, count) != later[key]]
+        later = {key: rendezvous.jump_hash(key, count + 1) for key in keys}
+        moved = [key for key in keys if rendezvous.jump_hash(key, count) != later[key]]
         assert len(moved) == pytest.approx(4000 / (count + 1), rel=0.2)
         assert {later[key] for key in moved} == {count}
 
@@ -112,7 +112,7 @@
     placement_owner.use_services((routing.Service("engines", "/", 9, placement_helpers.ENGINE),))
     engines = tuple(make_announcement(f"u-{n}", slots=9) for n in range(24))
     placement_owner.use_upstreams(engines, 0.0)
-    members = {n for n in range(24) if rendezvous.jump(f"u-{n}", 3) == 0}
+    members = {n for n in range(24) if rendezvous.jump_hash(f"u-{n}", 3) == 0}
     assert members
     for count in (2, 3):
         shard = placement_messages.Shard("engines", 0, count)
--- a/tests/routed/test_spillover.py
+++ b/tests/routed/test_spillover.py
@@ -14,7 +14,7 @@
 HOME = placement_messages.Shard("engines", 0, 2)
 OTHER = placement_messages.Shard("engines", 1, 2)
 SHORT = (("common", 120), ("matter", 80), ("own", 630))
-ENGINE = routing.EngineFacts(12, 362_000, event_tokens=6)
+ENGINE = routing.EngineSpec(12, 362_000, event_tokens=6)
 TOKENS_PER_MS = 64.0
 STEP_MS = 5.0
 
--- a/tests/test_configuration_check.py
+++ b/tests/test_configuration_check.py
@@ -33,7 +33,7 @@
     return configurations.Service(name, MODEL, selector, models, **others)
 
 
-SOUND = configurations.Configuration(
+VALID = configurations.Configuration(
     accounts=(account("small", {"size": "s"}), account("large", {"size": "l", "vip": "yes"})),
     classes=(
         request_class("chat", "model=m, task=chat", floor_share=0.3),
@@ -56,12 +56,12 @@
 
 
 def added(**fields):
-    whole = {name: getattr(SOUND, name) + tuple(extra) for name, extra in fields.items()}
-    return dataclasses.replace(SOUND, **whole)
+    extended = {name: getattr(VALID, name) + tuple(extra) for name, extra in fields.items()}
+    return dataclasses.replace(VALID, **extended)
 
 
 def test_a_sound_configuration_has_no_findings():
-    assert configuration_check.check(SOUND) == ()
+    assert configuration_check.check(VALID) == ()
     assert configuration_check.check(configurations.Configuration()) == ()
 
 
@@ -195,7 +195,7 @@
         added(services=[model_service("x", ("q",), slots=0)]), Kind.OUT_OF_RANGE,
         "service.x.slots", "at least 1"),
     "lease": (
-        dataclasses.replace(SOUND, engine_lease_s=0.0), Kind.OUT_OF_RANGE,
+        dataclasses.replace(VALID, engine_lease_s=0.0), Kind.OUT_OF_RANGE,
         "deployment.engine_lease_s", "from 0.5 to 60"),
     "preemptible": (
         added(classes=[request_class("x", "model=n", preemptible=True, repeatable=False)]),
@@ -247,20 +247,20 @@
 
 def test_classes_of_accounts_with_different_labels_do_not_conflict():
     classes = (request_class("a", "size=s"), request_class("b", "vip=yes"))
-    assert configuration_check.check(dataclasses.replace(SOUND, classes=classes)) == ()
+    assert configuration_check.check(dataclasses.replace(VALID, classes=classes)) == ()
 
 
 def test_classes_of_calls_with_different_labels_do_not_conflict():
     # Every request that carries action=hold is a POST, so the two never meet.
     classes = (request_class("a", "action=hold"), request_class("b", "service=desk, method=GET"))
-    assert configuration_check.check(dataclasses.replace(SOUND, classes=classes)) == ()
+    assert configuration_check.check(dataclasses.replace(VALID, classes=classes)) == ()
 
 
 def test_routes_conflict_only_over_requests_of_their_services_kind():
     # Only requests without a model meet both, and those never go to a model service.
     routes = (route("a", "model!=m", "lm-b"), route("b", "model!=n", "lm"))
-    services = (model_service("lm", ("m",)), model_service("lm-b", ("n",)), SOUND.services[2])
-    changed = dataclasses.replace(SOUND, routes=routes, services=services)
+    services = (model_service("lm", ("m",)), model_service("lm-b", ("n",)), VALID.services[2])
+    changed = dataclasses.replace(VALID, routes=routes, services=services)
     assert configuration_check.check(changed) == ()
 
 
@@ -269,4 +269,4 @@
         request_class(f"c{number}", "model=m", precedence=number, floor_share=0.3)
         for number in range(5)
     )
-    assert configuration_check.check(dataclasses.replace(SOUND, classes=classes)) == ()
+    assert configuration_check.check(dataclasses.replace(VALID, classes=classes)) == ()
--- a/tests/test_configuration_delta.py
+++ b/tests/test_configuration_delta.py
@@ -46,8 +46,8 @@
     )
 
 
-def _revisioned(revision, whole):
-    return heartbeat.RevisionedConfiguration(revision, whole)
+def _revisioned(revision, source):
+    return heartbeat.RevisionedConfiguration(revision, source)
 
 
 @hypothesis.given(_configurations(), _configurations())
--- a/tests/test_configuration_file.py
+++ b/tests/test_configuration_file.py
@@ -13,7 +13,7 @@
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 
-SOUND = """
+VALID = """
 [[account]]
 name = "shop"
 [[service]]
@@ -99,7 +99,7 @@
 
 
 def test_mistakes_of_form_and_of_meaning_are_found_in_one_pass(read):
-    text = SOUND + """
+    text = VALID + """
 [[class]]
 name = "odd"
 tier = "one"
@@ -125,7 +125,7 @@
 
 
 def test_a_finding_has_its_line_although_elements_before_it_were_left_out(read):
-    text = SOUND + '[[account]]\nname = 3\n[[account]]\nname = "b"\nweight = 0\n'
+    text = VALID + '[[account]]\nname = 3\n[[account]]\nname = "b"\nweight = 0\n'
     found = mistakes(read, text)
     assert [item.split(":", 1)[1].split(";")[0] for item in found] == [
         "14: account[1].name: is a whole number, not text in quotes",
@@ -134,12 +134,12 @@
 
 
 def test_what_rests_on_a_part_with_mistakes_is_not_reported(read):
-    text = SOUND.replace('kind = "model"', 'kind = "modle"')
+    text = VALID.replace('kind = "model"', 'kind = "modle"')
     assert len(mistakes(read, text)) == 1
 
 
 def test_a_wrong_number_hides_no_finding_elsewhere(read):
-    text = SOUND.replace("tier = 1", "tier = 1\nfloor_share = true")
+    text = VALID.replace("tier = 1", "tier = 1\nfloor_share = true")
     text += '[[class]]\nname = "b"\ntier = 1\nselector = "model=gone"\nprecedence = 1\n'
     found = mistakes(read, text)
     assert len(found) == 2
--- a/tests/test_control_session.py
+++ b/tests/test_control_session.py
@@ -11,9 +11,9 @@
 from medlarfork.declared import configuration_delta
 from medlarfork.entry import control_session, entry_options, entry_types
 from medlarfork.orders import inventory
-from tests import entry_world
+from tests import entry_harness
 
-FIRST = heartbeat.RevisionedConfiguration(1, entry_world.declared())
+FIRST = heartbeat.RevisionedConfiguration(1, entry_harness.declared())
 SECOND = heartbeat.RevisionedConfiguration(
     2, dataclasses.replace(FIRST.configuration, engine_lease_s=9.0)
 )
@@ -27,7 +27,7 @@
         self.session = control_session.ControlSession(
             OPTIONS,
             generator=random.Random(1),
-            member_now=lambda: entry_world.member_of("e1"),
+            member_now=lambda: entry_harness.member_of("e1"),
         )
         self.sent = []
         self.note(self.session.handle(node.Started(), 0.0))
@@ -51,13 +51,13 @@
 
 
 def test_the_first_reply_puts_configuration_and_view_in_force(driven):
-    view = member.View((1, 1), (entry_world.member_of("e1"),))
+    view = member.View((1, 1), (entry_harness.member_of("e1"),))
     applied = driven.reply(0.1, whole=FIRST, view=view)
     assert applied[0] == entry_types.ConfigurationApplied(1)
     assert (driven.session.revision, driven.session.view) == (1, view)
 
 
-def test_revisions_and_views_never_go_back(driven):
+def test_revision_and_view_version_never_decrease(driven):
     newer, older = member.View((2, 1)), member.View((1, 9))
     driven.reply(0.1, revision=2, whole=SECOND, view=newer)
     assert driven.reply(0.2, whole=FIRST, view=older) == []
@@ -75,7 +75,7 @@
     assert driven.sent[-1].message.revision == 2
 
 
-def test_a_damaged_delta_makes_the_session_ask_for_the_whole(driven):
+def test_an_invalid_delta_makes_the_session_request_the_full_configuration(driven):
     driven.reply(0.1, whole=FIRST)
     damaged = heartbeat.ConfigurationDelta(1, 2, {"account/x": b"{"}, ())
     driven.reply(0.2, revision=2, delta=damaged)
@@ -98,12 +98,12 @@
 
 
 @pytest.mark.parametrize(("number", "sender"), [(1, "c1"), (0, "e2")])
-def test_replies_to_nobodys_heartbeat_or_from_strangers_are_ignored(driven, number, sender):
+def test_replies_to_unknown_heartbeats_or_from_unknown_replicas_are_ignored(driven, number, sender):
     assert driven.reply(0.1, number=number, sender=sender, whole=FIRST) == []
     assert driven.session.revision == 0
 
 
-def test_a_silent_replica_is_passed_over_and_a_named_leader_is_asked_at_once(driven):
+def test_a_silent_replica_is_skipped_and_a_known_leader_is_contacted_at_once(driven):
     driven.tick(1.0)
     assert [item.to for item in driven.sent] == ["c1", "c2"]
     hint = heartbeat.NotLeader("c1", 1)
@@ -115,14 +115,14 @@
     assert [item.to for item in driven.sent[2:]] == ["c1", "c2"]
 
 
-def test_a_leader_that_falls_silent_is_passed_over(driven):
+def test_a_leader_that_falls_silent_is_skipped(driven):
     driven.reply(0.1, whole=FIRST)
     for now in (1.0, 2.0, 3.0):
         driven.tick(now)
     assert [item.to for item in driven.sent] == ["c1", "c1", "c2", "c3"]
 
 
-def test_a_notice_of_something_newer_brings_a_heartbeat_at_once(driven):
+def test_a_notice_of_a_newer_version_triggers_a_heartbeat_at_once(driven):
     driven.reply(0.1, whole=FIRST)
     for revision, beats in ((1, 1), (2, 2)):
         notice = heartbeat.RevisionNotice(revision, (0, 0))
@@ -130,7 +130,7 @@
         assert len(driven.sent) == beats
 
 
-def test_the_upstreams_out_of_service_never_go_back(driven):
+def test_the_out_of_service_version_never_decreases(driven):
     newer, older = heartbeat.OutOfService(5, ("u1",)), heartbeat.OutOfService(4, ("u2",))
     applied = control_session.OutOfServiceApplied(("u1",))
     assert applied in driven.reply(0.1, whole=FIRST, out_of_service=newer)
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(("version", "beats"), [(5, 0), (6, 1)])
-def test_a_notice_of_newer_upstreams_out_of_service_brings_a_heartbeat(driven, version, beats):
+def test_a_notice_of_a_newer_out_of_service_list_triggers_a_heartbeat(driven, version, beats):
     driven.reply(0.1, whole=FIRST, out_of_service=heartbeat.OutOfService(5))
     before = len(driven.sent)
     notice = heartbeat.RevisionNotice(1, (0, 0), version)
@@ -148,8 +148,8 @@
     assert len(driven.sent) == before + beats
 
 
-def test_a_leader_that_asks_for_the_inventory_gets_all_of_it(driven):
-    driven.session.upstreams.note(entry_world.announcement("u1", 1))
+def test_a_leader_that_requests_the_inventory_gets_all_of_it(driven):
+    driven.session.upstreams.note(entry_harness.announcement("u1", 1))
     (first,) = driven.session.report()
     assert (first.to, first.message.whole) == ("c1", False)
     driven.tick(1.0)
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(("slow_s", "is_logged"), [(100.0, False), (0.05, True)])
-def test_a_write_that_took_long_is_logged_with_its_time(caplog, monkeypatch, slow_s, is_logged):
+def test_a_slow_write_is_logged_with_its_duration(caplog, monkeypatch, slow_s, is_logged):
     monkeypatch.setattr(_disk_writer, "SLOW_S", slow_s)
     synced = []
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -65,7 +65,7 @@
     """Return the names of an entry host's metrics as they are rendered."""
     metrics = telemetry.Telemetry()
     for gauge in telemetry.Gauge:
-        metrics.observe(gauge, lambda: [telemetry.Reading(1.0)])
+        metrics.observe(gauge, lambda: [telemetry.GaugeValue(1.0)])
     metrics.start()
     wasted = entry_types.WastedTokens("retry", 1)
     metrics.record(_record(wasted))
--- a/tests/test_entry_golden.py
+++ b/tests/test_entry_golden.py
@@ -13,7 +13,7 @@
 
 from medlarfork import claim, heartbeat, node, ticket, upstream
 from medlarfork.entry import entry_types
-from tests import entry_world
+from tests import entry_harness
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 LEFT_OUT = (node.Wake, heartbeat.Heartbeat, heartbeat.HeartbeatReply, ticket.Released)
@@ -49,9 +49,9 @@
     return isinstance(getattr(item, "message", item), LEFT_OUT)
 
 
-def render(world, start):
+def render(simulation, start):
     lines = []
-    for at, entry_id, event, actions in world.seen:
+    for at, entry_id, event, actions in simulation.seen:
         shown = [item for item in actions if not is_left_out(item)]
         if is_left_out(event) or (isinstance(event, node.TimeDue) and not shown):
             continue
@@ -62,61 +62,63 @@
     return "\n".join(lines) + "\n"
 
 
-def chat(world):
-    world.post("e1", entry_world.chat("r1"))
-    world.run(0.05)
-    world.post("e1", entry_types.AttemptStarted("r1.1"))
-    world.run(0.2)
+def chat(simulation):
+    simulation.post("e1", entry_harness.chat("r1"))
+    simulation.run(0.05)
+    simulation.post("e1", entry_types.AttemptStarted("r1.1"))
+    simulation.run(0.2)
     ended = entry_types.AttemptEnded("r1.1", Result.COMPLETE, 200, 12, relayed=True)
-    world.post("e1", ended)
+    simulation.post("e1", ended)
 
 
-def not_repeatable_call_with_duplicate(world):
-    world.post("e1", entry_world.hold("r1", "key-1"))
-    world.run(0.05)
-    world.post("e2", entry_world.hold("r2", "key-1"))
-    world.run(0.2)
+def not_repeatable_call_with_duplicate(simulation):
+    simulation.post("e1", entry_harness.hold("r1", "key-1"))
+    simulation.run(0.05)
+    simulation.post("e2", entry_harness.hold("r2", "key-1"))
+    simulation.run(0.2)
     answer = claim.StoredAnswer(201, "application/json", b'{"held":1}')
     ended = entry_types.AttemptEnded("r1.1", Result.COMPLETE, 201, relayed=True, answer=answer)
-    world.post("e1", ended)
-    world.run(0.5)
+    simulation.post("e1", ended)
+    simulation.run(0.5)
 
 
-def preemption_and_resumption(world):
+def preemption_and_resumption(simulation):
     for number in (1, 2):
-        world.post("e1", entry_world.chat(f"long{number}", model="long"))
-    world.run(0.05)
+        simulation.post("e1", entry_harness.chat(f"long{number}", model="long"))
+    simulation.run(0.05)
     for number in (1, 2):
-        world.post("e1", entry_types.AttemptStarted(f"long{number}.1"))
-    world.post("e2", entry_world.chat("quick"))
-    world.run(0.01)
-    paused = world.take(entry_types.CancelAttempt)[0].attempt_id
+        simulation.post("e1", entry_types.AttemptStarted(f"long{number}.1"))
+    simulation.post("e2", entry_harness.chat("quick"))
+    simulation.run(0.01)
+    paused = simulation.pop_actions(entry_types.CancelAttempt)[0].attempt_id
     ended = entry_types.AttemptEnded(paused, Result.BROKEN, 200, 7, relayed=True, resumable=True)
-    world.post("e1", ended)
-    world.run(0.05)
-    world.post("e2", entry_types.AttemptEnded("quick.1", Result.COMPLETE, 200, 3, relayed=True))
-    world.run(0.05)
+    simulation.post("e1", ended)
+    simulation.run(0.05)
+    simulation.post(
+        "e2", entry_types.AttemptEnded("quick.1", Result.COMPLETE, 200, 3, relayed=True)
+    )
+    simulation.run(0.05)
     done = entry_types.AttemptEnded(
         paused.replace(".1", ".2"), Result.COMPLETE, 200, 20, relayed=True
     )
-    world.post("e1", done)
-    world.run(0.05)
+    simulation.post("e1", done)
+    simulation.run(0.05)
 
 
-def engine_lost_in_a_stream(world):
-    world.announce("e2", "u2")
-    world.run(0.05)
-    world.post("e1", entry_world.chat("r1"))
-    world.run(0.05)
-    world.post("e1", entry_types.AttemptStarted("r1.1"))
+def engine_lost_in_a_stream(simulation):
+    simulation.announce("e2", "u2")
+    simulation.run(0.05)
+    simulation.post("e1", entry_harness.chat("r1"))
+    simulation.run(0.05)
+    simulation.post("e1", entry_types.AttemptStarted("r1.1"))
     cut = entry_types.AttemptEnded(
         "r1.1", Result.BROKEN, 200, 5, relayed=True, resumable=True, error="connection reset"
     )
-    world.post("e1", cut)
-    world.run(0.05)
+    simulation.post("e1", cut)
+    simulation.run(0.05)
     cut = entry_types.AttemptEnded("r1.2", Result.BROKEN, 200, 8, relayed=True, error="reset")
-    world.post("e1", cut)
-    world.run(0.05)
+    simulation.post("e1", cut)
+    simulation.run(0.05)
 
 
 @pytest.mark.parametrize(
@@ -124,15 +126,15 @@
     [chat, not_repeatable_call_with_duplicate, preemption_and_resumption, engine_lost_in_a_stream],
 )
 def test_a_session_equals_its_golden_file(session):
-    world = entry_world.World(("e1", "e2"))
-    world.announce("e1", "u1")
-    world.announce("e1", "d1", app="desk")
-    world.run(0.05)
-    world.keeps_seen = True
-    start = world.now
-    session(world)
+    simulation = entry_harness.EntrySimulation(("e1", "e2"))
+    simulation.announce("e1", "u1")
+    simulation.announce("e1", "d1", app="desk")
+    simulation.run(0.05)
+    simulation.records_events = True
+    start = simulation.now
+    session(simulation)
     file = FOLDER / f"entry_{session.__name__}.txt"
-    got = render(world, start)
+    got = render(simulation, start)
     if os.environ.get("MEDLAR_REGENERATE_GOLDEN") == "1":
         FOLDER.mkdir(exist_ok=True)
         file.write_text(got)
--- a/tests/test_entry_machine.py
+++ b/tests/test_entry_machine.py
@@ -13,7 +13,7 @@
 
 from medlarfork import claim, heartbeat, node, request, ticket, upstream
 from medlarfork.entry import entry_types
-from tests import entry_world
+from tests import entry_harness
 
 ENTRY_IDS = ("e1", "e2", "e3")
 UPSTREAM_IDS = ("u1", "u2", "d1")
@@ -41,7 +41,7 @@
 
     def __init__(self):
         super().__init__()
-        self.world = entry_world.World(ENTRY_IDS)
+        self.simulation = entry_harness.EntrySimulation(ENTRY_IDS)
         self.number = 0
         self.incarnation = 1
         self.incarnation_by_id = dict.fromkeys(ENTRY_IDS, 1)
@@ -62,8 +62,8 @@
 
     def settle(self):
         """Let the fake engines act on what the nodes have asked for."""
-        while self.world.out:
-            entry_id, action = self.world.out.pop(0)
+        while self.simulation.out:
+            entry_id, action = self.simulation.out.pop(0)
             match action:
                 case entry_types.Dispatch():
                     self.on_dispatch(entry_id, action)
@@ -85,7 +85,7 @@
         assert action.resume_offset == kept, "goes on where it can't be joined"
         open_for = [item.request_id for item in self.open_by_id.values()]
         assert action.request_id not in open_for, "two attempts at once"
-        silent_s = self.world.now - self.ready_at[action.upstream_id]
+        silent_s = self.simulation.now - self.ready_at[action.upstream_id]
         assert silent_s <= LEASE_S + SLACK_S, "dispatched to an upstream that is gone"
         attempt = Attempt(entry_id, action.request_id, action.key, action.resume_offset)
         self.open_by_id[action.attempt_id] = attempt
@@ -118,13 +118,13 @@
             lost = None if attempt.request_id in self.relayed else 0
             self.tokens_by_request[attempt.request_id] = tokens if resumable else lost
         if relayed:
-            self.world.post(attempt.entry_id, entry_types.AttemptStarted(attempt_id))
+            self.simulation.post(attempt.entry_id, entry_types.AttemptStarted(attempt_id))
         reached = attempt.request_id in self.relayed
         answer = claim.StoredAnswer(200, "text/plain", b"x")
         ended = entry_types.AttemptEnded(
             attempt_id, result, 200, tokens, reached, resumable, answer
         )
-        self.world.post(attempt.entry_id, ended)
+        self.simulation.post(attempt.entry_id, ended)
 
     @stateful.rule(
         upstream_id=upstream_ids,
@@ -135,28 +135,30 @@
         state = upstream.UpstreamState.LEAVING if leaving else upstream.UpstreamState.READY
         app = "desk" if upstream_id == "d1" else "lm"
         if not leaving:
-            self.ready_at[upstream_id] = self.world.now
-        incarnation = int(self.world.now * 1000)
-        self.world.announce(entry_id, upstream_id, app=app, state=state, incarnation=incarnation)
+            self.ready_at[upstream_id] = self.simulation.now
+        incarnation = int(self.simulation.now * 1000)
+        self.simulation.announce(
+            entry_id, upstream_id, app=app, state=state, incarnation=incarnation
+        )
 
     @stateful.rule(entry_id=entry_ids, model=st.sampled_from(("small", "long")))
     def arrive_chat(self, entry_id, model):
-        self.arrive(entry_id, lambda item: entry_world.chat(item, model=model))
+        self.arrive(entry_id, lambda item: entry_harness.chat(item, model=model))
 
     @stateful.rule(entry_id=entry_ids, key=st.sampled_from(("k1", "k2", "k3", "")))
     def arrive_hold(self, entry_id, key):
-        self.arrive(entry_id, lambda item: entry_world.hold(item, key))
+        self.arrive(entry_id, lambda item: entry_harness.hold(item, key))
 
     def arrive(self, entry_id, make):
         self.number += 1
         request_id = f"r{self.number}"
         self.home_by_request[request_id] = entry_id
-        self.world.post(entry_id, make(request_id))
+        self.simulation.post(entry_id, make(request_id))
         self.pause()
 
     def pause(self):
         """Let messages of a healthy network arrive."""
-        self.world.run(0.02)
+        self.simulation.run(0.02)
         self.settle()
 
     @stateful.precondition(lambda self: self.open_by_id)
@@ -172,7 +174,7 @@
     def leave(self, chosen):
         request_id = sorted(self.home_by_request)[chosen % len(self.home_by_request)]
         home = self.home_by_request[request_id]
-        self.world.post(home, entry_types.CallerGone(request_id))
+        self.simulation.post(home, entry_types.CallerGone(request_id))
 
     @stateful.precondition(lambda self: self.open_by_id)
     @stateful.rule(chosen=st.integers(0, 99), owner=entry_ids)
@@ -180,12 +182,12 @@
         attempt_id = sorted(self.open_by_id)[chosen % len(self.open_by_id)]
         home = self.open_by_id[attempt_id].entry_id
         message = ticket.Preempt(attempt_id, home, "lm/0")
-        self.world.post(home, node.MessageReceived(owner, message))
+        self.simulation.post(home, node.MessageReceived(owner, message))
 
     @stateful.rule(seconds=st.sampled_from((0.01, 0.2, 1.0, 4.0)))
     def wait(self, seconds):
         for step in range(10):
-            self.world.run(seconds / 10)
+            self.simulation.run(seconds / 10)
             self.settle()
             for upstream_id in sorted(set(UPSTREAM_IDS) - self.silent):
                 self.announce(upstream_id, ENTRY_IDS[step % 3])
@@ -200,8 +202,10 @@
         if old:
             attempt_id = old[chosen % len(old)]
             late = entry_types.AttemptEnded(attempt_id, result, 200, 1, True)
-            self.world.post(self.dispatched[attempt_id], entry_types.AttemptStarted(attempt_id))
-            self.world.post(self.dispatched[attempt_id], late)
+            self.simulation.post(
+                self.dispatched[attempt_id], entry_types.AttemptStarted(attempt_id)
+            )
+            self.simulation.post(self.dispatched[attempt_id], late)
 
     @stateful.rule(
         loss=st.sampled_from((0.0, 0.3)),
@@ -209,22 +213,26 @@
         delay_s=st.sampled_from((0.001, 0.2)),
     )
     def change_network(self, loss, copies, delay_s):
-        self.world.loss, self.world.copies, self.world.delay_s = loss, copies, delay_s
+        self.simulation.loss, self.simulation.copies, self.simulation.delay_s = (
+            loss,
+            copies,
+            delay_s,
+        )
 
     @stateful.rule(cut=st.sampled_from(((), ("e1",), ("e2",), ("c1", "c2", "c3"))))
     def cut_off(self, cut):
-        self.world.cut = set(cut)
+        self.simulation.cut = set(cut)
 
     @stateful.rule(drained=st.sampled_from(((), ("u1",))))
     def change_configuration(self, drained):
-        revision = self.world.control.revised.revision + 1
-        changed = entry_world.declared(drained_upstreams=drained)
-        self.world.control.revised = heartbeat.RevisionedConfiguration(revision, changed)
+        revision = self.simulation.control.revised.revision + 1
+        changed = entry_harness.declared(drained_upstreams=drained)
+        self.simulation.control.revised = heartbeat.RevisionedConfiguration(revision, changed)
 
     @stateful.rule(entry_id=entry_ids)
     def crash(self, entry_id):
         self.incarnation += 1
-        self.world.node_by_id[entry_id] = entry_world.make_node(
+        self.simulation.node_by_id[entry_id] = entry_harness.make_node(
             entry_id, seed=self.incarnation, incarnation=self.incarnation
         )
         self.revision_by_id[entry_id] = 0
@@ -235,7 +243,7 @@
         for request_id, home in tuple(self.home_by_request.items()):
             if home == entry_id:
                 del self.home_by_request[request_id]
-        self.world.post(entry_id, node.Started())
+        self.simulation.post(entry_id, node.Started())
 
     @stateful.invariant()
     def check(self):
@@ -245,23 +253,23 @@
         """Heal everything: every request ends and every slot comes back."""
         self.settle()
         self.change_network(0.0, 0.0, 0.001)
-        self.world.cut = set()
+        self.simulation.cut = set()
         for _ in range(75):
             for attempt_id in sorted(self.open_by_id):
                 self.end(attempt_id, Result.COMPLETE)
             for upstream_id in UPSTREAM_IDS:
                 self.announce(upstream_id, "e3")
-            self.world.run(1.0)
+            self.simulation.run(1.0)
             self.settle()
         assert not self.home_by_request
-        for holder, _, finished, _ in self.world.control.claim_by_key.values():
+        for holder, _, finished, _ in self.simulation.control.claim_by_key.values():
             current = self.incarnation_by_id[holder.entry_id] == holder.incarnation
             assert finished or not current, "a claim is left behind"
-        for entry in self.world.node_by_id.values():
-            status = entry.status(self.world.now)
+        for entry in self.simulation.node_by_id.values():
+            status = entry.status(self.simulation.now)
             assert (status.requests, status.held_bytes, status.unconfirmed) == (0, 0, 0)
             assert all(item.running == item.queued == 0 for item in status.pools)
-            assert status.revision == self.world.control.revised.revision
+            assert status.revision == self.simulation.control.revised.revision
 
 
 TestEntryMachine = EntryMachine.TestCase
--- a/tests/test_entry_orders.py
+++ b/tests/test_entry_orders.py
@@ -7,10 +7,10 @@
 from medlarfork import heartbeat
 from medlarfork.entry import entry_types
 from medlarfork.orders import inventory
-from tests import entry_world
+from tests import entry_harness
 
 
-class OrderingControl(entry_world.FakeControl):
+class OrderingControl(entry_harness.FakeControl):
     """Keep the inventory and a list of upstreams out of service besides."""
 
     def __init__(self, revised):
@@ -38,62 +38,62 @@
 
 
 @pytest.fixture
-def world():
-    made = entry_world.World(("e1", "e2"))
+def simulation():
+    made = entry_harness.EntrySimulation(("e1", "e2"))
     made.control = OrderingControl(made.control.revised)
     made.run(2.0)
     made.out.clear()
     return made
 
 
-def test_the_owner_of_the_pool_reports_an_upstream_once(world):
+def test_the_owner_of_the_pool_reports_an_upstream_once(simulation):
     for _ in range(3):
-        world.announce("e1", "u1")
-        world.run(0.2)
-    (report,) = world.control.reports
-    owner = world.node_by_id[report.entry_id]
-    assert "lm/0" in {item.pool for item in owner.status(world.now).pools}
-    assert set(world.control.inventory.upstream_by_id) == {"u1"}
-
-
-def test_an_upstream_whose_lease_ends_is_reported_as_gone(world):
-    world.announce("e1", "u1")
-    world.run(0.2)
-    assert world.control.inventory.upstream_by_id
-    world.run(6.0)
-    assert world.control.inventory.upstream_by_id == {}
-
-
-def test_a_new_leader_hears_of_all_upstreams_at_the_next_heartbeat(world):
-    world.announce("e1", "u1")
-    world.run(0.2)
-    world.control.inventory = inventory.Inventory()
-    world.run(1.5)
-    assert set(world.control.inventory.upstream_by_id) == {"u1"}
-    assert world.control.reports[-1].whole
-
-
-def test_an_upstream_out_of_service_gets_no_new_work_until_it_is_back(world):
-    world.announce("e1", "u1")
-    world.control.out_of_service = heartbeat.OutOfService(1, ("u1",))
-    world.run(1.5)
-    world.announce("e1", "u1")
-    world.post("e1", entry_world.chat("r1"))
-    world.run(0.5)
-    assert world.take(entry_types.Dispatch) == []
-    world.control.out_of_service = heartbeat.OutOfService(2, ())
-    world.run(1.5)
-    assert [action.request_id for action in world.take(entry_types.Dispatch)] == ["r1"]
-
-
-def test_an_upstream_stays_out_of_service_through_a_change_of_configuration(world):
-    world.announce("e1", "u1")
-    world.control.out_of_service = heartbeat.OutOfService(1, ("u1",))
-    world.run(1.5)
-    revised = world.control.revised
-    world.control.revised = dataclasses.replace(revised, revision=revised.revision + 1)
-    world.run(1.5)
-    world.announce("e1", "u1")
-    world.post("e1", entry_world.chat("r1"))
-    world.run(0.5)
-    assert world.take(entry_types.Dispatch) == []
+        simulation.announce("e1", "u1")
+        simulation.run(0.2)
+    (report,) = simulation.control.reports
+    owner = simulation.node_by_id[report.entry_id]
+    assert "lm/0" in {item.pool for item in owner.status(simulation.now).pools}
+    assert set(simulation.control.inventory.upstream_by_id) == {"u1"}
+
+
+def test_an_upstream_whose_lease_ends_is_reported_as_gone(simulation):
+    simulation.announce("e1", "u1")
+    simulation.run(0.2)
+    assert simulation.control.inventory.upstream_by_id
+    simulation.run(6.0)
+    assert simulation.control.inventory.upstream_by_id == {}
+
+
+def test_a_new_leader_gets_all_upstreams_after_the_next_heartbeat(simulation):
+    simulation.announce("e1", "u1")
+    simulation.run(0.2)
+    simulation.control.inventory = inventory.Inventory()
+    simulation.run(1.5)
+    assert set(simulation.control.inventory.upstream_by_id) == {"u1"}
+    assert simulation.control.reports[-1].whole
+
+
+def test_an_upstream_out_of_service_gets_no_new_work_until_it_is_back(simulation):
+    simulation.announce("e1", "u1")
+    simulation.control.out_of_service = heartbeat.OutOfService(1, ("u1",))
+    simulation.run(1.5)
+    simulation.announce("e1", "u1")
+    simulation.post("e1", entry_harness.chat("r1"))
+    simulation.run(0.5)
+    assert simulation.pop_actions(entry_types.Dispatch) == []
+    simulation.control.out_of_service = heartbeat.OutOfService(2, ())
+    simulation.run(1.5)
+    assert [action.request_id for action in simulation.pop_actions(entry_types.Dispatch)] == ["r1"]
+
+
+def test_an_upstream_stays_out_of_service_through_a_change_of_configuration(simulation):
+    simulation.announce("e1", "u1")
+    simulation.control.out_of_service = heartbeat.OutOfService(1, ("u1",))
+    simulation.run(1.5)
+    revised = simulation.control.revised
+    simulation.control.revised = dataclasses.replace(revised, revision=revised.revision + 1)
+    simulation.run(1.5)
+    simulation.announce("e1", "u1")
+    simulation.post("e1", entry_harness.chat("r1"))
+    simulation.run(0.5)
+    assert simulation.pop_actions(entry_types.Dispatch) == []
--- a/tests/test_entry_program.py
+++ b/tests/test_entry_program.py
@@ -9,7 +9,7 @@
 
 from medlarfork import errors, runner
 from medlarfork.entry import (
-    conversation,
+    caller_session,
     entry_program,
     entry_settings,
     entry_types,
@@ -98,7 +98,7 @@
     assert (program._client.calls, exchange.ended) == (0, ["cut"])
 
 
-def test_an_attempt_that_the_callers_leaving_overtakes_is_not_sent_and_ends_once(program):
+def test_an_attempt_whose_caller_has_gone_is_not_sent_and_ends_once(program):
     class LeavingNode(ScriptedNode):
         def handle(self, event: Any, now: float) -> tuple[Any, ...]:
             if isinstance(event, entry_types.RequestArrived):
@@ -121,7 +121,7 @@
     assert (program._client.calls, exchange.ended) == (0, ["cut"])
 
 
-def test_a_cancellation_of_an_earlier_attempt_leaves_the_next_one_alone(program):
+def test_cancelling_an_earlier_attempt_does_not_affect_the_next_one(program):
     second = entry_types.Dispatch("r", "r.2", "u", "http://127.0.0.1:1")
     script = {
         entry_types.RequestArrived: (entry_types.CancelAttempt("r.1"), second),
@@ -132,23 +132,23 @@
     assert program._client.calls == 1
 
 
-def test_a_second_opaque_answer_is_never_joined_to_a_first():
+def test_a_second_opaque_answer_is_never_appended_to_the_first():
     async def _run() -> None:
         exchange = FakeExchange()
-        held = conversation.Conversation(RAW, exchange, 0.0)
-        held.begin_attempt(DISPATCH, 200, {"content-type": "text/plain"})
-        held.hold("r.1", b"x" * upstream_attempt.HOLD_BYTES)
-        assert await held.pass_on("r.1", b"first")
+        held = caller_session.CallerSession(RAW, exchange, 0.0)
+        held.start_response(DISPATCH, 200, {"content-type": "text/plain"})
+        held.hold("r.1", b"x" * upstream_attempt.MAX_BUFFERED_BYTES)
+        assert await held.forward("r.1", b"first")
         second = entry_types.Dispatch("r", "r.2", "u", "http://127.0.0.1:1")
         with pytest.raises(errors.UpstreamError):
-            held.begin_attempt(second, 200, {"content-type": "text/plain"})
-        assert not await held.pass_on("r.2", b"second")
+            held.start_response(second, 200, {"content-type": "text/plain"})
+        assert not await held.forward("r.2", b"second")
         assert exchange.sent.endswith(b"first")
 
     curio.run(_run)
 
 
-def test_a_part_whose_head_was_interrupted_is_not_lost():
+def test_buffered_bytes_survive_a_cancelled_head_write():
     class StalledExchange(FakeExchange):
         async def begin(self, status: int, headers: Any) -> None:
             self.started = True
@@ -156,15 +156,15 @@
 
     async def _run() -> None:
         exchange = StalledExchange()
-        held = conversation.Conversation(CHAT, exchange, 0.0)
+        held = caller_session.CallerSession(CHAT, exchange, 0.0)
         headers = {"content-type": "text/event-stream"}
         first, second = EVENTS
-        held.begin_attempt(DISPATCH, 200, headers)
+        held.start_response(DISPATCH, 200, headers)
         with pytest.raises(curio.TaskCancelled):
-            await held.pass_on("r.1", first)
+            await held.forward("r.1", first)
         again = entry_types.Dispatch("r", "r.2", "u", "http://127.0.0.1:1", resume_offset=1)
-        held.begin_attempt(again, 200, {**headers, "medlar-resume-offset": "1"})
-        assert await held.pass_on("r.2", second)
+        held.start_response(again, 200, {**headers, "medlar-resume-offset": "1"})
+        assert await held.forward("r.2", second)
         assert (held.tokens, exchange.sent) == (2, first + second)
 
     curio.run(_run)
--- a/tests/test_example_settings.py
+++ b/tests/test_example_settings.py
@@ -33,11 +33,11 @@
 
 @pytest.mark.parametrize("name", _CONTROLS)
 def test_control_settings_load(name: str):
-    given = _control(name)
-    control_settings.check(given)
-    assert given.replica_id == name
-    assert given.replicas == _control("control-1").replicas
-    assert given.operators[0].key_sha256 == _digest("example-operator-key")
+    loaded = _control(name)
+    control_settings.check(loaded)
+    assert loaded.replica_id == name
+    assert loaded.replicas == _control("control-1").replicas
+    assert loaded.operators[0].key_sha256 == _digest("example-operator-key")
 
 
 def test_data_folders_differ():
@@ -46,20 +46,20 @@
 
 @pytest.mark.parametrize("name", _ENTRIES)
 def test_entry_settings_load(name: str):
-    given = _entry(name)
-    assert given.entry_id == name
-    assert given.announce_key_sha256 == (_digest("example-announce-key"),)
-    assert given.operator_key_sha256 == (_digest("example-operator-key"),)
+    loaded = _entry(name)
+    assert loaded.entry_id == name
+    assert loaded.announce_key_sha256 == (_digest("example-announce-key"),)
+    assert loaded.operator_key_sha256 == (_digest("example-operator-key"),)
     known = {item.replica_id: item.link_address for item in _control("control-1").replicas}
-    assert {item.replica_id: item.link_address for item in given.controls} == known
+    assert {item.replica_id: item.link_address for item in loaded.controls} == known
 
 
 def test_ctl_settings_name_every_host():
-    given = settings.load(_FOLDER / "ctl.toml", _ctl_types.CtlSettings)
+    loaded = settings.load(_FOLDER / "ctl.toml", _ctl_types.CtlSettings)
     replicas = _control("control-1").replicas
-    assert given.control == tuple(item.http_address for item in replicas)
+    assert loaded.control == tuple(item.http_address for item in replicas)
     entries = [_entry(name) for name in _ENTRIES]
-    assert given.entry == tuple(f"http://{item.http_host}:{item.http_port}" for item in entries)
+    assert loaded.entry == tuple(f"http://{item.http_host}:{item.http_port}" for item in entries)
 
 
 def test_no_address_is_used_twice():
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("name", WHOLE)
-def test_whole_answers(name):
+def test_complete_responses(name):
     sent, framed, reusable = WHOLE[name]
     peer = Peer(sent, end="close" if not framed else "hold")
 
@@ -102,7 +102,7 @@
             response = await get(client, peer.address)
             assert (response.status, response.framed) == (200, framed)
             assert await response.read() == b"ab"
-            assert response.whole
+            assert response.complete
             assert client.idle_connections == int(reusable)
 
     curio_world.run(main)
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("name", CUT)
-def test_cut_answers_never_look_whole(name):
+def test_truncated_responses_never_look_complete(name):
     peer = Peer(CUT[name], end="hold" if name == "only informational" else "close")
 
     async def main():
@@ -146,7 +146,7 @@
     curio_world.run(main)
 
 
-def test_chunks_come_before_the_answer_ends():
+def test_chunks_arrive_before_the_response_ends():
     async def main():
         go_on = curio.Event()
 
@@ -225,7 +225,7 @@
     curio_world.run(main)
 
 
-def test_refused_connection_is_known_as_not_sent():
+def test_refused_connection_is_reported_as_not_sent():
     async def main():
         peer = Peer()
         await peer.start()
@@ -238,7 +238,7 @@
     curio_world.run(main)
 
 
-def test_a_request_that_is_withdrawn_leaves_no_byte_and_its_connection_whole():
+def test_a_withdrawn_request_sends_nothing_and_keeps_its_connection():
     async def main():
         peer = Peer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", end="hold")
         async with client_of(peer) as client:
@@ -253,20 +253,24 @@
     curio_world.run(main)
 
 
-def test_whether_anybody_listens_is_told_and_the_connection_kept():
+def test_reach_reports_whether_a_port_accepts_and_keeps_the_connection():
     async def main():
         peer = Peer()
         await peer.start()
         async with client_of() as client:
-            assert await client.reach(peer.address, within_s=1.0) is http_client.Reach.ACCEPTS
+            assert (
+                await client.reach(peer.address, within_s=1.0) is http_client.Reachability.ACCEPTS
+            )
             assert client.idle_connections == 1
             await peer.close()
-            assert await client.reach(peer.address, within_s=1.0) is http_client.Reach.REFUSES
+            assert (
+                await client.reach(peer.address, within_s=1.0) is http_client.Reachability.REFUSES
+            )
 
     curio_world.run(main)
 
 
-def test_an_address_that_takes_no_opening_packets_is_silent():
+def test_an_address_that_drops_connection_attempts_is_silent():
     async def main():
         with contextlib.ExitStack() as stack:
             full = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=0))
@@ -274,7 +278,7 @@
             taken.connect(full.getsockname())
             async with client_of() as client:
                 address = f"http://127.0.0.1:{full.getsockname()[1]}"
-                assert await client.reach(address, within_s=0.2) is http_client.Reach.SILENT
+                assert await client.reach(address, within_s=0.2) is http_client.Reachability.SILENT
 
     curio_world.run(main)
 
@@ -290,7 +294,7 @@
         ("http://127.0.0.1:1", "GET", "/", {"a": "\u4e00"}),
     ],
 )
-def test_impossible_requests_are_known_as_not_sent(address, method, target, headers):
+def test_invalid_requests_are_reported_as_not_sent(address, method, target, headers):
     async def main():
         async with client_of() as client:
             with pytest.raises(errors.RequestNotSentError):
@@ -299,7 +303,7 @@
     curio_world.run(main)
 
 
-def test_too_many_connections_are_refused_here():
+def test_connections_beyond_the_client_limit_are_refused():
     peer = Peer(end="hold")
 
     async def main():
@@ -315,7 +319,7 @@
 
 
 @pytest.mark.parametrize("script", [(), (CHUNKED + b"2\r\nab\r\n",)])
-def test_slow_answer_times_out(script):
+def test_slow_response_times_out(script):
     peer = Peer(*script, end="hold")
 
     async def main():
@@ -363,7 +367,7 @@
     curio_world.run(main)
 
 
-def test_closing_an_unread_answer_cuts_the_connection():
+def test_closing_an_unread_response_resets_the_connection():
     peer = Peer(CHUNKED + b"2\r\nab\r\n", end="hold")
 
     async def main():
@@ -417,7 +421,7 @@
     curio_world.run(main)
 
 
-def test_answer_that_came_before_the_upstream_broke_off_is_read():
+def test_response_sent_before_the_upstream_closed_is_read():
     peer = Peer(OK + b"content-length: 2\r\n\r\nab")
 
     async def main():
--- a/tests/test_http_answer.py
+++ b/tests/test_http_response.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies
 
 from medlarfork import errors
-from medlarfork.http import _http_answer
+from medlarfork.http import _http_response
 
 HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 CHUNKS = b"1\r\na\r\n00A\r\n\r\n0\r\n\r\nbcd\r\n2;x=y\r\nef\r\n1\r\ng\r\n"
@@ -54,7 +54,7 @@
     async def keep(self, _: Any) -> None:
         self.kept = True
 
-    def forget(self, _: Any) -> None:
+    def remove(self, _: Any) -> None:
         pass
 
 
@@ -63,7 +63,7 @@
 ) -> tuple[bytes, bool, bool]:
     """Return an answer's body, whether it was whole and whether its connection was kept."""
     pool, stream = FakePool(), FakeStream(parts, ends=ends)
-    connection = _http_answer.ClientConnection(
+    connection = _http_response.ClientConnection(
         "http://h:1", stream, pool, header_bytes=9999, body_bytes=9999
     )
     got = []
@@ -74,10 +74,10 @@
         with contextlib.suppress(errors.UpstreamError):
             while part := await response.next_chunk():
                 got.append(part)
-        return response.whole
+        return response.complete
 
-    whole = curio.run(_run)
-    return b"".join(got), whole, pool.kept
+    complete = curio.run(_run)
+    return b"".join(got), complete, pool.kept
 
 
 def cut(data: bytes, cuts: list[int]) -> list[bytes]:
@@ -87,20 +87,20 @@
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(HEAD + CHUNKS + END)), max_size=8))
 @hypothesis.example([len(HEAD) - 1, len(HEAD) + 6, len(HEAD) + 23])
-def test_any_cut_gives_the_same_body_and_keeps_the_connection(cuts):
+def test_any_split_gives_the_same_body_and_reuses_the_connection(cuts):
     assert read(cut(HEAD + CHUNKS + END, cuts)) == (BODY, True, True)
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(HEAD + CHUNKS)), max_size=8))
-def test_a_body_without_its_end_is_never_whole(cuts):
-    _, whole, kept = read(cut(HEAD + CHUNKS, cuts), ends=True)
-    assert (whole, kept) == (False, False)
+def test_a_truncated_body_is_never_complete(cuts):
+    _, complete, kept = read(cut(HEAD + CHUNKS, cuts), ends=True)
+    assert (complete, kept) == (False, False)
 
 
-def test_an_answer_without_a_body_is_not_waited_for():
+def test_a_response_without_a_body_ends_with_its_head():
     assert read([HEAD], method="HEAD") == (b"", True, True)
 
 
-def test_a_connection_with_bytes_behind_an_answer_is_not_kept():
+def test_a_connection_with_bytes_after_a_response_is_not_reused():
     assert read([HEAD + b"HTTP"], method="HEAD") == (b"", True, False)
     assert read([HEAD, CHUNKS, END + b"HTTP"]) == (BODY, True, False)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -153,7 +153,7 @@
     curio_world.run(main)
 
 
-def test_headers_of_another_connection_are_not_passed_on():
+def test_hop_by_hop_headers_are_not_forwarded():
     async def handler(exchange):
         headers = {"Transfer-Encoding": "chunked", "Connection": "close", "x-kept": "1"}
         await exchange.respond(200, headers, b"whole")
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize(("size", "kept"), [(10, True), (500_000, False)])
-def test_unread_body_is_never_taken_for_a_request(size, kept):
+def test_unread_body_is_never_parsed_as_a_request(size, kept):
     async def ignore(exchange):
         await exchange.respond(200, {}, exchange.head.path.encode())
 
@@ -207,7 +207,7 @@
     curio_world.run(main)
 
 
-def test_breach_after_the_answer_began_cuts_it():
+def test_limit_violation_after_the_response_started_resets_the_connection():
     async def hasty(exchange):
         await exchange.begin(200, {})
         await exchange.read_body()
@@ -253,7 +253,7 @@
     curio_world.run(main)
 
 
-def test_connections_beyond_the_limit_are_told_so():
+def test_connections_beyond_the_limit_get_503():
     async def main():
         async with serving(connections=2) as server:
             held = [await connect(server) for _ in range(2)]
@@ -316,7 +316,7 @@
 
 @pytest.mark.parametrize("headers", [{}, {"content-length": "100"}])
 @pytest.mark.parametrize("ending", ["abort", "raise", "return"])
-def test_unfinished_answer_never_looks_whole(headers, ending):
+def test_unfinished_response_never_looks_complete(headers, ending):
     async def handler(exchange):
         await exchange.begin(200, headers)
         await exchange.send(b"part")
@@ -338,7 +338,7 @@
     curio_world.run(main)
 
 
-def test_short_answer_with_declared_length_is_cut():
+def test_response_shorter_than_its_declared_length_is_reset():
     async def handler(exchange):
         await exchange.begin(200, {"content-length": "100"})
         await exchange.send(b"part")
@@ -356,7 +356,7 @@
     curio_world.run(main)
 
 
-def test_parts_are_sent_at_once_and_ended_properly():
+def test_chunks_are_sent_at_once_and_terminated():
     go_on = []
 
     async def handler(exchange):
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize(("version", "headers"), [(b"1.1", {"content-length": "7"}), (b"1.0", {})])
-def test_parts_of_a_body_that_is_not_chunked_are_sent_as_they_are(version, headers):
+def test_parts_of_an_unchunked_body_are_sent_unchanged(version, headers):
     async def handler(exchange):
         await exchange.begin(200, headers)
         await exchange.send(b"one")
@@ -396,7 +396,7 @@
     curio_world.run(main)
 
 
-def test_a_part_whose_sender_was_cancelled_is_whole_before_the_next_one():
+def test_a_chunk_of_a_cancelled_send_is_completed_before_the_next_one():
     size = 8 * 1024 * 1024
     waiting = []
 
@@ -422,7 +422,7 @@
     curio_world.run(main)
 
 
-def test_a_part_after_the_end_is_refused():
+def test_sending_after_the_end_is_an_error():
     async def handler(exchange):
         await exchange.begin(200, {})
         await exchange.finish()
@@ -452,7 +452,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "close behind many bytes"])
-def test_caller_that_goes_is_noticed(how):
+def test_caller_disconnect_is_detected(how):
     async def main():
         gone, entered = [], []
         async with serving(watched(gone, entered)) as server:
@@ -491,7 +491,7 @@
     curio_world.run(main)
 
 
-def test_caller_that_does_not_read_is_cut():
+def test_caller_that_does_not_read_is_reset():
     async def handler(exchange):
         await exchange.begin(200, {})
         while True:
@@ -541,7 +541,7 @@
     curio_world.run(main)
 
 
-def test_close_serves_callers_that_were_not_accepted_yet():
+def test_close_serves_connections_in_the_backlog():
     async def main():
         async with serving(linger_s=0.05) as server:
             await (await connect(server)).close()
@@ -588,7 +588,7 @@
     curio_world.run(main)
 
 
-def test_close_cuts_what_takes_too_long():
+def test_close_resets_exchanges_that_exceed_the_timeout():
     async def main():
         gone, entered = [], []
         async with serving(watched(gone, entered)) as server:
@@ -634,14 +634,16 @@
     curio_world.run(main)
 
 
-def test_callers_that_came_before_the_server_started_are_served():
-    opened = listener.open_address("127.0.0.1:0")
-    address = opened.getsockname()
+def test_connections_made_before_the_server_started_are_served():
+    listening = listener.open_address("127.0.0.1:0")
+    address = listening.getsockname()
     early = socket.create_connection(address, timeout=LONG_S)
     early.sendall(b"GET /early HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 
     async def main():
-        server = http_server.HttpServer(echo, host="127.0.0.1", port=address[1], opened=opened)
+        server = http_server.HttpServer(
+            echo, host="127.0.0.1", port=address[1], listening=listening
+        )
         await server.start()
         received = await curio.run_in_thread(early.makefile("rb").read)
         await server.close(within_s=0.5)
--- a/tests/test_inventory_reporter.py
+++ b/tests/test_inventory_reporter.py
@@ -24,7 +24,7 @@
         self.inventory = inventory.Inventory()
 
     def pass_on(self):
-        reports = self.reporter.take_reports()
+        reports = self.reporter.pop_reports()
         for report in reports:
             self.inventory.apply(report)
         return reports
@@ -39,44 +39,44 @@
 
 
 def test_an_announcement_that_changes_nothing_is_not_reported(pair):
-    pair.reporter.note(announcement())
+    pair.reporter.observe(announcement())
     (report,) = pair.pass_on()
     (notice,) = report.notices
     assert (notice.upstream_id, notice.labels, notice.role) == ("u1", {"a": "b"}, "mixed")
     load = upstream.Load(running=3)
-    pair.reporter.note(announcement(sequence=2, load=load, slots=5))
+    pair.reporter.observe(announcement(sequence=2, load=load, slots=5))
     assert pair.pass_on() == ()
-    pair.reporter.note(announcement(sequence=3, role="decode"))
+    pair.reporter.observe(announcement(sequence=3, role="decode"))
     assert [report.notices[0].role for report in pair.pass_on()] == ["decode"]
     assert pair.agree()
 
 
 @pytest.mark.parametrize("way", ["forget", "leave", "keep"])
-def test_an_upstream_that_goes_is_reported_once(pair, way):
-    pair.reporter.note(announcement())
+def test_a_removed_upstream_is_reported_once(pair, way):
+    pair.reporter.observe(announcement())
     pair.pass_on()
     for _ in range(2):
         match way:
             case "forget":
-                pair.reporter.forget("u1")
+                pair.reporter.remove("u1")
             case "leave":
-                pair.reporter.note(announcement(state=upstream.UpstreamState.LEAVING))
+                pair.reporter.observe(announcement(state=upstream.UpstreamState.LEAVING))
             case "keep":
-                pair.reporter.keep([announcement("u2")])
+                pair.reporter.retain_only([announcement("u2")])
     (report,) = pair.pass_on()
     assert [item.gone for item in report.notices if item.upstream_id == "u1"] == [True]
     assert "u1" not in pair.inventory.upstream_by_id
     assert pair.agree()
-    pair.reporter.forget("u1")
+    pair.reporter.remove("u1")
     assert pair.pass_on() == ()
 
 
-def test_a_lost_report_is_made_good_by_a_whole_resend(pair):
+def test_a_lost_report_is_repaired_by_a_full_resend(pair):
     for number in range(inventory.MAX_NOTICES + 2):
-        pair.reporter.note(announcement(f"u{number}"))
+        pair.reporter.observe(announcement(f"u{number}"))
     pair.pass_on()
-    pair.reporter.forget("u1")
-    pair.reporter.take_reports()
+    pair.reporter.remove("u1")
+    pair.reporter.pop_reports()
     assert not pair.agree()
     pair.reporter.resend()
     first, second = pair.pass_on()
@@ -85,8 +85,8 @@
     assert pair.agree()
 
 
-def test_a_resend_of_nothing_empties_the_leaders_inventory(pair):
-    pair.reporter.note(announcement())
+def test_an_empty_full_resend_clears_the_leaders_inventory(pair):
+    pair.reporter.observe(announcement())
     pair.pass_on()
     pair.reporter = inventory_reporter.InventoryReporter("h1")
     assert not pair.agree()
@@ -98,7 +98,7 @@
 
 def test_no_more_upstreams_are_reported_than_the_leader_holds(pair, monkeypatch):
     monkeypatch.setattr(inventory, "MAX_UPSTREAMS_PER_ENTRY", 2)
-    pair.reporter.keep(announcement(f"u{number}") for number in range(3))
+    pair.reporter.retain_only(announcement(f"u{number}") for number in range(3))
     pair.pass_on()
     assert len(pair.inventory.upstream_by_id) == 2
     assert pair.agree()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 8, 20])
-def test_a_torn_tail_is_cut_and_the_journal_goes_on(folder, cut):
+def test_a_torn_tail_is_truncated_and_the_journal_continues(folder, cut):
     change(folder, lambda data: data[:-cut])
     opened = journal.Journal(folder)
     assert opened.start().records == RECORDS[:4]
@@ -70,21 +70,21 @@
 
 def test_every_flipped_byte_before_the_last_sync_is_damage(folder):
     path = folder / journal.JOURNAL_NAME
-    whole = path.read_bytes()
-    last_write = frame_starts(whole)[2]
+    intact = path.read_bytes()
+    last_write = frame_starts(intact)[2]
     for offset in range(last_write):
-        path.write_bytes(flip(bytearray(whole), offset))
+        path.write_bytes(flip(bytearray(intact), offset))
         with pytest.raises(errors.DamagedJournalError, match="Move the data folder away"):
             restart(folder)
 
 
-def test_a_flipped_byte_of_the_last_write_leaves_what_is_whole_before_it(folder):
+def test_a_flipped_byte_of_the_last_write_keeps_the_valid_records_before_it(folder):
     # Whether that write was synced can't be seen from the file; a later write would tell.
     path = folder / journal.JOURNAL_NAME
-    whole = path.read_bytes()
-    starts = frame_starts(whole)
-    for offset in range(starts[2], len(whole)):
-        path.write_bytes(flip(bytearray(whole), offset))
+    intact = path.read_bytes()
+    starts = frame_starts(intact)
+    for offset in range(starts[2], len(intact)):
+        path.write_bytes(flip(bytearray(intact), offset))
         kept = sum(end <= offset for end in starts[1:])
         assert restart(folder).records == RECORDS[:kept]
 
@@ -95,10 +95,10 @@
     opened.append_and_sync([b"after"])
     opened.close()
     path = folder / journal.JOURNAL_NAME
-    whole = path.read_bytes()
-    starts = frame_starts(whole)
-    frames = [whole[start:end] for start, end in zip(starts, starts[1:], strict=False)]
-    head = whole[: starts[0]]
+    intact = path.read_bytes()
+    starts = frame_starts(intact)
+    frames = [intact[start:end] for start, end in zip(starts, starts[1:], strict=False)]
+    head = intact[: starts[0]]
     for order in ([0, 2, 3, 4, 5], [0, 1, 1, 2, 3, 4, 5], [0, 2, 1, 3, 4, 5], [0, 1, 2, 4, 3, 5]):
         path.write_bytes(head + b"".join(frames[at] for at in order))
         with pytest.raises(errors.DamagedJournalError):
@@ -122,21 +122,21 @@
         lost_from = {"there": end, "missing": start, "torn": (start + end) // 2}[fate]
         data[synced_bytes + lost_from : synced_bytes + end] = bytes(end - lost_from)
     path.write_bytes(bytes(data))
-    whole = [fate == "there" for fate in fates]
-    kept = whole.index(False) if False in whole else len(whole)
+    intact = [fate == "there" for fate in fates]
+    kept = intact.index(False) if False in intact else len(intact)
     assert restart(folder).records == (*RECORDS, *unsynced[:kept])
     assert restart(folder).records == (*RECORDS, *unsynced[:kept])
 
 
-def test_a_full_disk_refuses_a_write_and_takes_it_once_there_is_room(folder, monkeypatch):
+def test_a_full_disk_refuses_a_write_and_accepts_it_once_there_is_space(folder, monkeypatch):
     opened = journal.Journal(folder)
     opened.start()
     sync = os.fsync
 
-    def find_no_room(descriptor):
+    def raise_no_space(descriptor):
         raise OSError(errno.ENOSPC, "no space left on device")
 
-    monkeypatch.setattr(os, "fsync", find_no_room)
+    monkeypatch.setattr(os, "fsync", raise_no_space)
     with pytest.raises(errors.DiskFullError):
         opened.append_and_sync([b"next"])
     with pytest.raises(errors.DiskFullError):
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("is_cut", [True, False])
-def test_a_bad_end_of_what_a_snapshot_switched_to_is_no_torn_tail(folder, is_cut):
+def test_a_bad_end_of_a_file_that_a_snapshot_created_is_damage(folder, is_cut):
     opened = journal.Journal(folder)
     opened.start()
     opened.save_snapshot(b"state", [b"kept"])
@@ -185,7 +185,7 @@
     assert not (folder / journal.NEW_JOURNAL_NAME).exists()
 
 
-def test_a_failed_sync_is_never_tried_again(folder, monkeypatch):
+def test_a_failed_sync_is_never_retried(folder, monkeypatch):
     opened = journal.Journal(folder)
     opened.start()
     calls = []
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -33,7 +33,7 @@
 
 CODEC = codec.Codec([Note])
 QUICK = link.LinkOptions(
-    heartbeat_s=0.05, silence_s=0.2, reconnect_s=0.01, reconnect_limit_s=0.05, linger_s=0.0
+    heartbeat_s=0.05, idle_timeout_s=0.2, reconnect_s=0.01, max_reconnect_s=0.05, linger_s=0.0
 )
 
 
@@ -99,7 +99,7 @@
     return make_link(name, keys=keys.LinkKeys.load(folder, name))
 
 
-def test_a_message_is_answered_over_the_connection_it_came_by() -> None:
+def test_a_message_is_answered_over_the_connection_it_arrived_on() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -115,7 +115,7 @@
     run(main)
 
 
-def test_a_burst_in_both_directions_arrives_whole_and_in_order() -> None:
+def test_a_burst_in_both_directions_arrives_complete_and_in_order() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -149,10 +149,10 @@
     run(main)
 
 
-def test_a_peer_that_takes_nothing_fills_a_bounded_queue() -> None:
+def test_a_peer_that_reads_nothing_fills_a_bounded_queue() -> None:
     async def main() -> None:
         # Without heartbeats, which would end the connection to a peer that stopped reading.
-        narrow = dataclasses.replace(QUICK, queue_limit=5, heartbeat_s=0.0, silence_s=60.0)
+        narrow = dataclasses.replace(QUICK, queue_limit=5, heartbeat_s=0.0, idle_timeout_s=60.0)
         a, b = make_link("a", options=narrow), make_link("b", options=narrow)
         await a.start()
         await b.start()
@@ -183,7 +183,7 @@
     run(main)
 
 
-def test_a_reconnect_takes_its_route_back_from_a_dead_connection(
+def test_a_reconnect_takes_over_its_route_from_a_dead_connection(
     raw: zmq.Socket, other_raw: zmq.Socket
 ) -> None:
     async def main() -> None:
@@ -246,7 +246,7 @@
     run(main)
 
 
-def test_a_message_whose_wake_up_a_send_used_up_is_still_received() -> None:
+def test_a_message_whose_edge_a_send_consumed_is_still_received() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -265,7 +265,7 @@
     run(main)
 
 
-def test_the_ways_back_that_are_kept_are_bounded(raw: zmq.Socket, other_raw: zmq.Socket) -> None:
+def test_the_routes_kept_are_bounded(raw: zmq.Socket, other_raw: zmq.Socket) -> None:
     async def main() -> None:
         b = make_link("b", options=dataclasses.replace(QUICK, route_limit=1))
         await b.start()
@@ -298,7 +298,7 @@
     run(main)
 
 
-def test_nothing_is_kept_for_a_dead_peer_and_a_restarted_one_is_found_again() -> None:
+def test_nothing_is_queued_for_a_dead_peer_and_a_restarted_one_is_reconnected() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -342,7 +342,7 @@
     run(main)
 
 
-def test_a_routing_id_without_our_form_is_malformed(raw: zmq.Socket) -> None:
+def test_a_routing_id_of_another_form_is_malformed(raw: zmq.Socket) -> None:
     async def main() -> None:
         b = make_link("b")
         await b.start()
@@ -353,7 +353,7 @@
     run(main)
 
 
-def test_known_keys_are_let_in_both_ways(key_folder: pathlib.Path) -> None:
+def test_known_keys_are_accepted_in_both_directions(key_folder: pathlib.Path) -> None:
     async def main() -> None:
         a, b = keyed(key_folder, "a"), keyed(key_folder, "b")
         await a.start()
@@ -380,7 +380,7 @@
         plain.connect("b", b.address)
         await curio_world.until(lambda: b.counters.refused_keys >= 1)
         assert not c.send("b", Note("unknown")) and not plain.send("b", Note("plain"))
-        b.use_keys(b_keys)
+        b.update_keys(b_keys)
         await send_until_sent(c, "b", Note("known now"))
         assert await b.receive() == node.MessageReceived("c", Note("known now"))
         assert not plain.send("b", Note("plain"))
@@ -388,7 +388,7 @@
     run(main)
 
 
-def test_a_known_key_can_neither_speak_nor_listen_for_another(key_folder: pathlib.Path) -> None:
+def test_a_known_key_can_neither_send_nor_receive_as_another(key_folder: pathlib.Path) -> None:
     async def main() -> None:
         a, b = keyed(key_folder, "a"), keyed(key_folder, "b")
         await a.start()
@@ -409,7 +409,7 @@
     run(main)
 
 
-def test_a_key_that_was_taken_out_is_not_heard_any_more(key_folder: pathlib.Path) -> None:
+def test_messages_under_a_removed_key_are_dropped(key_folder: pathlib.Path) -> None:
     async def main() -> None:
         a, b = keyed(key_folder, "a"), keyed(key_folder, "b")
         await a.start()
@@ -418,14 +418,14 @@
         await send_until_sent(a, "b", Note("heard"))
         await b.receive()
         b_keys = keys.LinkKeys.load(key_folder, "b")
-        b.use_keys(dataclasses.replace(b_keys, public_by_name={"b": b_keys.public}))
+        b.update_keys(dataclasses.replace(b_keys, public_by_name={"b": b_keys.public}))
         assert a.send("b", Note("unheard"))
         await curio_world.until(lambda: b.counters.impostors == 1)
 
     run(main)
 
 
-def test_a_link_that_can_not_be_opened_says_so(key_folder: pathlib.Path) -> None:
+def test_a_link_that_can_not_be_opened_raises(key_folder: pathlib.Path) -> None:
     async def main() -> None:
         a = make_link("a")
         await a.start()
@@ -440,7 +440,7 @@
     run(main)
 
 
-def test_a_peer_is_answered_while_the_connection_to_it_does_not_stand() -> None:
+def test_a_peer_is_answered_over_its_connection_while_ours_is_down() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -455,7 +455,7 @@
     run(main)
 
 
-def test_a_way_back_is_forgotten_once_it_is_gone() -> None:
+def test_a_route_is_removed_once_a_send_over_it_fails() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -471,7 +471,7 @@
     run(main)
 
 
-def test_a_way_back_through_a_silent_cut_is_given_up() -> None:
+def test_a_route_through_a_silent_cut_is_dropped() -> None:
     async def main() -> None:
         a, b = make_link("a"), make_link("b")
         await a.start()
@@ -487,7 +487,7 @@
     run(main)
 
 
-def test_an_attempt_to_connect_is_given_up_in_time_for_the_next():
+def test_an_attempt_to_connect_times_out_soon_enough_for_a_retry():
     # Begun while the network is cut, it would end only with the system's next opening packet.
     context = zmq.Context()
     sockets = _link_sockets.LinkSockets(context, routed_links.LINK_OPTIONS)
--- a/tests/test_load_program.py
+++ b/tests/test_load_program.py
@@ -37,8 +37,8 @@
 
     def __init__(self, script: list[str] | None = None) -> None:
         self.script = script or []
-        self.named: tuple[str, ...] = ()
-        self.asked = 0
+        self.entry_addresses: tuple[str, ...] = ()
+        self.directory_requests = 0
         self.requests = 0
         self.keys: list[str] = []
         self.lifetime_s = 60.0
@@ -47,8 +47,8 @@
     async def _answer(self, exchange: http_server.Exchange) -> None:
         body = await exchange.read_body()
         if exchange.head.path == "/v1/entries":
-            self.asked += 1
-            entries = [{"address": address, "data_centre": ""} for address in self.named]
+            self.directory_requests += 1
+            entries = [{"address": address, "data_centre": ""} for address in self.entry_addresses]
             answer = {"entries": entries, "lifetime_s": self.lifetime_s}
             await exchange.respond(200, {}, json.dumps(answer).encode())
             return
@@ -106,7 +106,7 @@
         await entry.server.start()
     addresses = tuple(entry.server.address for entry in entries)
     for entry in entries:
-        entry.named = addresses
+        entry.entry_addresses = addresses
     yield
     for entry in entries:
         await entry.server.close(within_s=0)
@@ -127,16 +127,16 @@
             reports.append(await load_program.LoadProgram(experiment).run())
 
     curio.run(main)
-    assert reports[0].good == (not any(bad(reports[0].classes[0])))
+    assert reports[0].passed == (not any(problem_counts(reports[0].classes[0])))
     return reports[0].classes[0]
 
 
-def bad(report: _load_report.ClassReport) -> tuple[int, ...]:
+def problem_counts(report: _load_report.ClassReport) -> tuple[int, ...]:
     return (report.cut, report.foreign, report.doubled, report.unfinished, report.skipped)
 
 
 @pytest.mark.parametrize("load_class", [CHAT, dataclasses.replace(CHAT, stream=False), CALL])
-def test_right_answers_count_as_completed_and_in_target(
+def test_correct_responses_count_as_completed_and_within_targets(
     load_class: _load_experiment.LoadClass,
 ) -> None:
     load_class = dataclasses.replace(load_class, whole_target_s=60.0, first_token_target_s=60.0)
@@ -144,10 +144,10 @@
     assert report.sent == report.completed > 3
     assert report.attainment == 1.0
     assert report.goodput_per_s == pytest.approx(report.sent / 0.1)
-    assert not any(bad(report))
+    assert not any(problem_counts(report))
 
 
-def test_answers_outside_the_target_count_as_completed_only() -> None:
+def test_responses_outside_the_target_count_as_completed_only() -> None:
     report = run_load(dataclasses.replace(CHAT, whole_target_s=0.0), FakeEntry())
     assert report.completed == report.sent
     assert report.attainment == report.goodput_per_s == 0.0
@@ -155,26 +155,26 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 @pytest.mark.parametrize("fault", ["cut", "foreign"])
-def test_wrong_answers_that_look_complete_are_found(fault: str, stream: bool) -> None:
+def test_wrong_responses_that_look_complete_are_detected(fault: str, stream: bool) -> None:
     report = run_load(dataclasses.replace(CHAT, stream=stream), FakeEntry([fault]))
     assert getattr(report, fault) == 1
     assert report.attainment < 1.0
 
 
 @pytest.mark.parametrize("fault", ["foreign", "doubled"])
-def test_wrong_echoes_are_found(fault: str) -> None:
+def test_wrong_echoes_are_detected(fault: str) -> None:
     assert getattr(run_load(CALL, FakeEntry([fault])), fault) == 1
 
 
 @pytest.mark.parametrize("fault", ["lost_connection", "early_end"])
-def test_an_answer_without_its_end_is_wasted_and_not_complete(fault: str) -> None:
+def test_a_truncated_response_is_wasted_and_not_complete(fault: str) -> None:
     report = run_load(CHAT, FakeEntry([fault]))
     assert (report.may_have_run, report.completed) == (1, report.sent - 1)
     assert report.wasted_tokens > 0
-    assert not any(bad(report))
+    assert not any(problem_counts(report))
 
 
-def test_what_was_not_run_is_sent_again_elsewhere_with_the_same_key() -> None:
+def test_requests_that_did_not_run_are_retried_elsewhere_with_the_same_key() -> None:
     first, second = FakeEntry(["not_run"]), FakeEntry(["not_run"])
     report = run_load(CALL, first, second)
     assert report.completed == report.sent
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "silent_error"])
-def test_what_may_have_run_is_never_sent_again(fault: str) -> None:
+def test_requests_that_may_have_run_are_never_retried(fault: str) -> None:
     entry = FakeEntry([fault])
     report = run_load(CALL, entry)
     assert (report.may_have_run, report.retries) == (1, 0)
@@ -200,23 +200,23 @@
     assert entry.requests == report.sent
 
 
-def test_the_named_entry_hosts_are_kept_and_share_the_load() -> None:
+def test_the_list_of_entry_hosts_is_cached_and_they_share_the_load() -> None:
     entries = [FakeEntry(), FakeEntry(), FakeEntry()]
     report = run_load(CHAT, *entries)
-    assert [entry.asked for entry in entries] == [1, 0, 0]
+    assert [entry.directory_requests for entry in entries] == [1, 0, 0]
     counts = [entry.requests for entry in entries]
     assert sum(counts) == report.sent
     assert max(counts) - min(counts) <= 1
 
 
-def test_an_answer_about_entry_hosts_is_asked_for_again_after_its_lifetime() -> None:
+def test_the_list_of_entry_hosts_is_refreshed_after_its_lifetime() -> None:
     entry = FakeEntry()
     entry.lifetime_s = 0.0
     run_load(CHAT, entry, duration_s=0.5)
-    assert entry.asked > 1
+    assert entry.directory_requests > 1
 
 
-def test_arrivals_do_not_wait_for_answers_and_too_many_are_skipped_and_counted() -> None:
+def test_arrivals_do_not_wait_for_responses_and_excess_ones_are_skipped() -> None:
     free = run_load(CHAT, FakeEntry(["hold"]), drain_s=0.0)
     assert free.sent > 1
     assert free.unfinished >= 1
@@ -224,19 +224,19 @@
     assert (full.sent, full.unfinished, full.skipped) == (1, 1, free.sent - 1)
 
 
-def test_the_same_seed_draws_the_same_arrivals_and_bursts_raise_the_rate() -> None:
+def test_the_same_seed_gives_the_same_arrivals_and_bursts_raise_the_rate() -> None:
     bursty = dataclasses.replace(
         CHAT, rate_per_s=20.0, burst_on_s=5.0, burst_off_s=5.0, burst_factor=4.0
     )
-    drawn = list(_load_arrivals.arrivals(bursty, seed=3, duration_s=200.0))
-    assert drawn == list(_load_arrivals.arrivals(bursty, seed=3, duration_s=200.0))
-    assert drawn != list(_load_arrivals.arrivals(bursty, seed=4, duration_s=200.0))
-    in_burst = sum(1 for item in drawn if item.at_s % 10.0 >= 5.0)
+    arrivals = list(_load_arrivals.arrivals(bursty, seed=3, duration_s=200.0))
+    assert arrivals == list(_load_arrivals.arrivals(bursty, seed=3, duration_s=200.0))
+    assert arrivals != list(_load_arrivals.arrivals(bursty, seed=4, duration_s=200.0))
+    in_burst = sum(1 for item in arrivals if item.at_s % 10.0 >= 5.0)
     assert in_burst == pytest.approx(8000, rel=0.05)
-    assert len(drawn) - in_burst == pytest.approx(2000, rel=0.1)
+    assert len(arrivals) - in_burst == pytest.approx(2000, rel=0.1)
 
 
-def test_percentiles_are_those_of_the_library() -> None:
+def test_percentiles_match_the_standard_library() -> None:
     values = [float(value) for value in range(1, 102)]
     found = _load_report.percentiles(values)
     assert (found.p50, found.p95, found.p99) == (51.0, 96.0, 100.0)
@@ -282,7 +282,7 @@
     assert run_main(monkeypatch) == 2
 
 
-def test_a_run_whose_entry_hosts_are_gone_counts_everything_as_not_run(
+def test_a_run_without_reachable_entry_hosts_counts_everything_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
@@ -296,7 +296,7 @@
     assert "attainment" in capsys.readouterr().out
 
 
-def test_the_errors_of_an_experiment_name_the_remedy() -> None:
+def test_errors_of_an_experiment_state_the_remedy() -> None:
     twice = _load_experiment.Experiment(("http://127.0.0.1:1",), (CHAT, CHAT))
     with pytest.raises(errors.SettingsError, match="own name"):
         _load_experiment.check(twice)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -125,7 +125,7 @@
     )
     | strategies.just({"event": "e", "x": "SK-hunter2hunter2", "y": "\u017f\u212a-hunter2hunter2"})
 )
-def test_the_short_way_writes_the_same_line(fields):
+def test_the_fast_path_renders_the_same_line(fields):
     formatter = logs.KeyValueFormatter("entry-1")
     record = logging.LogRecord("n", logging.INFO, "p", 1, fields, (), None)
     assert formatter.format(record) == core.BaseJsonFormatter.format(formatter, record)
@@ -140,7 +140,7 @@
     stream.getvalue().encode("utf-8")
 
 
-def test_lines_beyond_a_number_a_second_are_dropped_and_counted():
+def test_lines_beyond_the_rate_limit_are_dropped_and_counted():
     limit = _log_output.LineLimit(2)
     records = [
         logging.makeLogRecord({"msg": {"event": str(n)}, "created": 5.0, "levelno": 20})
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.timeout(10)
-def test_a_reader_that_stands_still_costs_lines_and_no_time(full_pipe):
+def test_a_blocked_reader_loses_lines_and_does_not_block_the_process(full_pipe):
     read_end, write_end = full_pipe
     with open(write_end, "w", closefd=False) as stream:  # noqa: PTH123 - not a path
         logs.configure("INFO", "entry-1", stream=stream)
@@ -182,15 +182,15 @@
 
 
 @pytest.mark.timeout(10)
-def test_a_line_that_is_cut_does_not_swallow_the_next_one(full_pipe):
+def test_a_truncated_line_does_not_corrupt_the_next_one(full_pipe):
     read_end, write_end = full_pipe
     os.read(read_end, 1 << 16)
     with open(write_end, "w", closefd=False) as stream:  # noqa: PTH123 - not a path
         logs.configure("INFO", "entry-1", stream=stream)
         logs.event(LOGGER, "long", why="w" * 10_000)
-        begun = os.read(read_end, 1 << 16).decode()
+        first = os.read(read_end, 1 << 16).decode()
         logs.event(LOGGER, "next")
         text = os.read(read_end, 1 << 16).decode()
-    assert begun.startswith("event=long")
+    assert first.startswith("event=long")
     assert text.startswith("\nevent=next")
     assert text.endswith(" dropped_lines=1\n")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -7,14 +7,14 @@
 
 from medlarfork import member
 from medlarfork.pool import ownership
-from tests import entry_world
+from tests import entry_harness
 
-DECLARED = entry_world.declared()
+DECLARED = entry_harness.declared()
 POOLS = ("lm/0", "desk/0")
 
 
 def view_of(names):
-    return member.View((1, 1), tuple(entry_world.member_of(name) for name in sorted(names)))
+    return member.View((1, 1), tuple(entry_harness.member_of(name) for name in sorted(names)))
 
 
 @given(st.lists(st.sets(st.sampled_from("abcdefgh"), min_size=1), min_size=1, max_size=6))
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -57,7 +57,7 @@
     assert (fake.address_by_id, len(links)) == ({}, 0)
 
 
-def test_a_dead_way_back_leads_to_a_connection(links, fake):
+def test_a_dead_return_route_is_replaced_by_a_connection(links, fake):
     fake.routes.add("e2")
     links.send("e2", "tcp://2", "lost", 0.0)
     assert fake.address_by_id == {"e2": "tcp://2"}
@@ -73,20 +73,20 @@
     fake.connect("control-1", "tcp://c")
     links.send("e2", "tcp://2", "x", 0.0)
     links.send("e3", "tcp://3", "x", 1.0)
-    links.close_idle(_peer_links.IDLE_S - 0.1)
+    links.close_idle(_peer_links.IDLE_TIMEOUT_S - 0.1)
     assert fake.address_by_id.keys() == {"control-1", "e2", "e3"}
-    links.close_idle(_peer_links.IDLE_S)
+    links.close_idle(_peer_links.IDLE_TIMEOUT_S)
     assert fake.address_by_id.keys() == {"control-1", "e3"}
-    links.send("e2", "tcp://2", "x", _peer_links.IDLE_S + 1)
+    links.send("e2", "tcp://2", "x", _peer_links.IDLE_TIMEOUT_S + 1)
     assert fake.address_by_id.keys() == {"control-1", "e2"}
 
 
-def test_the_number_of_links_is_bounded_and_the_longest_unused_goes_first(links, fake):
-    for number in range(_peer_links.LIMIT):
+def test_the_number_of_links_is_bounded_and_the_least_recently_used_is_closed_first(links, fake):
+    for number in range(_peer_links.MAX_LINKS):
         links.send(f"e{number}", "tcp://x", "x", number / 1000)
     links.send("e0", "tcp://x", "x", 1.0)
     links.send("new", "tcp://x", "x", 1.0)
-    assert len(fake.address_by_id) == len(links) == _peer_links.LIMIT
+    assert len(fake.address_by_id) == len(links) == _peer_links.MAX_LINKS
     assert "e0" in fake.address_by_id and "e1" not in fake.address_by_id
 
 
--- a/tests/test_pool_directory.py
+++ b/tests/test_pool_directory.py
@@ -9,12 +9,12 @@
 from medlarfork import member, node, upstream
 from medlarfork.entry import entry_types, pool_directory
 from medlarfork.pool import ownership
-from tests import entry_world
+from tests import entry_harness
 
 READY, LEAVING = upstream.UpstreamState.READY, upstream.UpstreamState.LEAVING
 POOL = "lm/0"
-VIEW = member.View((1, 1), tuple(entry_world.member_of(f"e{number}") for number in range(1, 5)))
-DECLARED = entry_world.declared()
+VIEW = member.View((1, 1), tuple(entry_harness.member_of(f"e{number}") for number in range(1, 5)))
+DECLARED = entry_harness.declared()
 RANKED = ownership.Ownership("e1", DECLARED, VIEW).owners(POOL)
 
 
@@ -37,18 +37,20 @@
 
 
 def said(sequence, **more):
-    return entry_world.announcement("u1", sequence, **more)
+    return entry_harness.announcement("u1", sequence, **more)
 
 
-def test_the_owner_keeps_an_announcement_and_passes_it_to_the_standby(owner):
-    assert kinds(owner.announce(said(1), 0.0)) == ["UpstreamUp", f"to {RANKED[1]}"]
-    assert kinds(owner.announce(said(2), 1.0)) == ["UpstreamChanged", f"to {RANKED[1]}"]
+def test_the_owner_stores_an_announcement_and_forwards_it_to_the_standby(owner):
+    assert kinds(owner.handle_announcement(said(1), 0.0)) == ["UpstreamUp", f"to {RANKED[1]}"]
+    assert kinds(owner.handle_announcement(said(2), 1.0)) == ["UpstreamChanged", f"to {RANKED[1]}"]
 
 
-def test_others_pass_on_and_name_owner_and_standby_first():
+def test_other_hosts_forward_and_list_owner_and_standby_first():
     other = next(item.entry_id for item in VIEW.members if item.entry_id not in RANKED[:2])
     directory = directory_of(other)
-    assert kinds(directory.announce(said(1), 0.0)) == [f"to {item}" for item in RANKED[:2]]
+    assert kinds(directory.handle_announcement(said(1), 0.0)) == [
+        f"to {item}" for item in RANKED[:2]
+    ]
     assert len(directory) == 0
     reply = directory.reply(said(1), VIEW)
     assert reply.announce_to[:2] == tuple(f"http://{item}" for item in RANKED[:2])
@@ -60,39 +62,39 @@
     [said(1), said(2), said(9, incarnation=0), said(2, state=LEAVING)],
 )
 def test_late_announcements_change_nothing(owner, late):
-    owner.announce(said(2), 0.0)
-    assert owner.announce(late, 1.0) == ()
+    owner.handle_announcement(said(2), 0.0)
+    assert owner.handle_announcement(late, 1.0) == ()
     assert owner.leases[0].heard_at == 0.0
 
 
 def test_leaving_is_final_for_an_incarnation(owner):
-    owner.announce(said(1), 0.0)
-    assert kinds(owner.announce(said(2, state=LEAVING), 0.1))[0] == "UpstreamChanged"
-    assert owner.announce(said(3), 0.2) == ()
+    owner.handle_announcement(said(1), 0.0)
+    assert kinds(owner.handle_announcement(said(2, state=LEAVING), 0.1))[0] == "UpstreamChanged"
+    assert owner.handle_announcement(said(3), 0.2) == ()
     assert kinds(owner.expire(3.2)) == ["UpstreamGone"]
-    assert owner.announce(said(4), 3.3) == ()
-    assert kinds(owner.announce(said(1, incarnation=2), 3.4))[0] == "UpstreamUp"
+    assert owner.handle_announcement(said(4), 3.3) == ()
+    assert kinds(owner.handle_announcement(said(1, incarnation=2), 3.4))[0] == "UpstreamUp"
 
 
-def test_silence_for_the_lease_ends_it_and_news_renew_it(owner):
-    owner.announce(said(1), 0.0)
-    owner.announce(said(2), 2.0)
+def test_a_lease_expires_in_silence_and_announcements_renew_it(owner):
+    owner.handle_announcement(said(1), 0.0)
+    owner.handle_announcement(said(2), 2.0)
     assert owner.expire(4.9) == ()
     assert owner.wake_at() == 5.0
     assert kinds(owner.expire(5.0)) == ["UpstreamGone"]
 
 
-def test_passing_on_does_not_prolong_the_lease(owner):
-    owner.seen(entry_types.UpstreamSeen(said(1), age_s=2.0), 10.0)
+def test_forwarding_does_not_prolong_the_lease(owner):
+    owner.handle_forwarded(entry_types.UpstreamSeen(said(1), age_s=2.0), 10.0)
     assert kinds(owner.expire(11.0)) == ["UpstreamGone"]
-    assert owner.seen(entry_types.UpstreamSeen(said(2), age_s=3.0), 12.0) == ()
+    assert owner.handle_forwarded(entry_types.UpstreamSeen(said(2), age_s=3.0), 12.0) == ()
 
 
 def test_a_change_of_selectors_moves_an_upstream_at_once(owner):
-    owner.announce(said(1, tier="new"), 0.0)
+    owner.handle_announcement(said(1, tier="new"), 0.0)
     first = dataclasses.replace(DECLARED.services[0], name="other", selector="tier=new")
     changed = dataclasses.replace(DECLARED, services=(first, *DECLARED.services))
-    alone = member.View((1, 2), (entry_world.member_of(RANKED[0]),))
+    alone = member.View((1, 2), (entry_harness.member_of(RANKED[0]),))
     moved = owner.apply(changed, ownership.Ownership(RANKED[0], changed, alone), 1.0)
     assert kinds(moved) == ["UpstreamGone", "UpstreamUp"]
     assert [item.pool for item in moved] == [POOL, "other/0"]
@@ -102,8 +104,8 @@
     assert (kinds(gone), len(owner)) == (["UpstreamGone"], 0)
 
 
-def test_new_owners_learn_of_an_upstream_with_its_age(owner):
-    owner.announce(said(1), 0.0)
+def test_new_owners_receive_an_upstream_with_its_age(owner):
+    owner.handle_announcement(said(1), 0.0)
     members = tuple(item for item in VIEW.members if item.entry_id != RANKED[0])
     rest = ownership.Ownership(RANKED[0], DECLARED, member.View((1, 2), members))
     told = owner.apply(DECLARED, rest, 1.5)
@@ -115,7 +117,7 @@
 
 def test_draining_hosts_own_nothing_unless_all_drain():
     drains = {"state": member.MemberState.DRAINING}
-    first, second = entry_world.member_of("e1", **drains), entry_world.member_of("e2")
+    first, second = entry_harness.member_of("e1", **drains), entry_harness.member_of("e2")
     some = ownership.Ownership("e1", DECLARED, member.View((1, 1), (first, second)))
     assert some.owners(POOL) == ("e2",)
     assert ownership.Ownership("e1", DECLARED, member.View((1, 2), (first,))).owns(POOL)
@@ -125,5 +127,5 @@
 def test_only_a_bounded_number_of_upstreams_is_remembered(owner, monkeypatch):
     monkeypatch.setattr(pool_directory, "_REMEMBERED", 2)
     for number in range(5):
-        owner.announce(entry_world.announcement(f"x{number}", 1, app="none"), 0.0)
+        owner.handle_announcement(entry_harness.announcement(f"x{number}", 1, app="none"), 0.0)
     assert len(owner._last_by_id) == 2
--- a/tests/test_pool_takeover.py
+++ b/tests/test_pool_takeover.py
@@ -60,7 +60,7 @@
 _TOLD = (pool_events.UpstreamUp, pool_events.TookOver)
 
 
-def test_a_new_owner_hands_over_how_old_its_readings_are_and_that_it_took_over(host):
+def test_a_new_owners_pool_gets_the_announcement_ages_and_the_takeover_event(host):
     host.apply(1.0, host.name)
     assert host.recorder.take(*_TOLD) == [
         pool_events.UpstreamUp(host.said, pytest.approx(0.4)),
@@ -70,7 +70,7 @@
     assert host.recorder.take(*_TOLD) == []
 
 
-def test_a_standbys_pool_is_told_when_the_standby_becomes_the_owner(host):
+def test_a_standbys_pool_is_notified_when_the_standby_becomes_the_owner(host):
     asked = ticket.Ticket("r.1", "e3", "lm/0", "a", "chat", 1, 0.0, 9.0)
     host.pools.on_message("e3", asked, 0.7)
     assert pool_events.TookOver() not in host.recorder.take(*_TOLD)
--- a/tests/test_process_metrics.py
+++ b/tests/test_process_metrics.py
@@ -7,10 +7,10 @@
 
 from medlarfork.metrics import process_metrics, timing
 
-KEPT = 5
+MAX_PENDING = 5
 
 
-class _Sum:
+class _FakeHistogram:
     """Stand in for a histogram."""
 
     def __init__(self):
@@ -20,7 +20,7 @@
         self.seconds.append(amount)
 
 
-class _Exchange:
+class _FakeExchange:
     def __init__(self):
         self.answer = None
 
@@ -28,42 +28,44 @@
         self.answer = status, body.decode()
 
 
-def _ask(metrics):
-    exchange = _Exchange()
+def _scrape(metrics):
+    exchange = _FakeExchange()
     curio.run(metrics.respond, exchange)
     status, text = exchange.answer
     assert status == 200
     return text
 
 
-def test_times_taken_before_the_library_is_there_are_summed_up_with_later_ones():
+def test_times_recorded_before_the_sdk_is_loaded_are_exported_with_later_ones():
     metrics = process_metrics.ProcessMetrics("tests", lambda: {"open": 3.0})
     times = metrics.timing("medlar_time", "Times.")
     counts = metrics.tally("medlar_counts", "Counts.", ("account",))
     times.record(0.2, {"account": "a"})
     counts.add(2, "a")
-    assert 'medlar_time_seconds_count{account="a"} 1.0' in _ask(metrics)
+    assert 'medlar_time_seconds_count{account="a"} 1.0' in _scrape(metrics)
     times.record(0.4, {"account": "a"})
-    text = _ask(metrics)
+    text = _scrape(metrics)
     assert 'medlar_time_seconds_count{account="a"} 2.0' in text
     assert 'medlar_counts_total{account="a"} 2.0' in text
     assert 'medlar_routed_state{name="open"} 3.0' in text
     metrics.close()
 
 
-def test_what_waits_for_the_library_is_bounded():
-    asked = []
-    times = timing.Timing("t", "Times.", most=KEPT, on_full=lambda: asked.append(True))
-    for _ in range(3 * KEPT):
+def test_a_full_buffer_requests_the_sdk_once():
+    load_requests = []
+    times = timing.Timing(
+        "t", "Times.", max_pending=MAX_PENDING, on_full=lambda: load_requests.append(True)
+    )
+    for _ in range(3 * MAX_PENDING):
         times.record(1.0)
-    assert asked == [True]
-    histogram = _Sum()
-    times.hand_on(histogram)
+    assert load_requests == [True]
+    histogram = _FakeHistogram()
+    times.attach(histogram)
     times.record(2.0)
-    assert len(histogram.seconds) == 3 * KEPT + 1
+    assert len(histogram.seconds) == 3 * MAX_PENDING + 1
 
 
-def test_a_process_that_nobody_asks_loads_no_library():
+def test_an_unscraped_process_does_not_load_the_sdk():
     script = (
         "import sys\n"
         "from medlarfork.metrics import process_metrics\n"
--- a/tests/test_quick_start.py
+++ b/tests/test_quick_start.py
@@ -17,7 +17,7 @@
     "prometheus_client",
 )
 
-MOST_MODULES = 340
+MAX_MODULES = 340
 """Modules that an entry host loads before it serves; it was 491."""
 
 
@@ -28,7 +28,7 @@
     return json.loads(done.stdout)
 
 
-def test_an_entry_host_loads_only_what_serving_needs():
+def test_an_entry_host_loads_only_modules_needed_for_serving():
     loaded = _run(
         "import json, sys\n"
         "from medlarfork.gateway import gateway_command, gateway_program\n"
@@ -38,12 +38,12 @@
         "logs.event(logging.getLogger('t'), 'started')\n"
         "print(json.dumps(sorted(sys.modules)))\n"
     )
-    assert len(loaded) <= MOST_MODULES
+    assert len(loaded) <= MAX_MODULES
     unneeded = [name for name in loaded if name.startswith(NOT_NEEDED)]
     assert unneeded == []
 
 
-def test_an_entry_host_listens_before_it_loads_the_rest():
+def test_an_entry_host_listens_before_it_loads_other_modules():
     loaded = _run(
         "import json, sys\n"
         "from medlarfork.gateway import gateway_command\n"
@@ -68,7 +68,7 @@
         "_quick_start.begin()",
     ],
 )
-def test_a_module_that_was_put_off_works_when_it_is_used(use):
+def test_a_deferred_module_is_imported_on_use(use):
     assert _run(
         "from medlarfork import _quick_start\n"
         "_quick_start.begin()\n"
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("name", ["ssl", "_hashlib"])
-def test_a_module_that_was_left_out_can_be_loaded_after_the_start(name):
+def test_a_blocked_module_can_be_imported_after_the_start(name):
     assert _run(
         "from medlarfork import _quick_start\n"
         "_quick_start.begin()\n"
@@ -106,15 +106,15 @@
 """
 
 
-def test_methods_that_a_build_compiled_work_as_those_compiled_at_the_start(tmp_path):
-    saved, again = str(tmp_path / "saved"), str(tmp_path / "again")
+def test_saved_compiled_methods_work_like_newly_compiled_ones(tmp_path):
+    saved, second = str(tmp_path / "saved"), str(tmp_path / "again")
     assert _run(START.format(path="", saved=saved))
-    assert _run(START.format(path=saved, saved=again))
-    assert sorted(pathlib.Path(saved).read_bytes()) == sorted(pathlib.Path(again).read_bytes())
+    assert _run(START.format(path=saved, saved=second))
+    assert sorted(pathlib.Path(saved).read_bytes()) == sorted(pathlib.Path(second).read_bytes())
 
 
 @pytest.mark.parametrize("content", [b"", b"no code of this interpreter"])
-def test_a_file_of_another_interpreter_is_passed_over(tmp_path, content):
+def test_a_file_of_another_interpreter_is_ignored(tmp_path, content):
     path = tmp_path / "compiled"
     path.write_bytes(content)
     assert _run(START.format(path=str(path), saved=str(tmp_path / "saved")))
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -24,7 +24,7 @@
     three.isolated.add("c")
     while three.leader() is None or three.leader().replica_id != "a":
         three = replica_cluster.Cluster(3, seed=three.random.random())
-        three.lead()
+        three.wait_for_leader()
     three.accept("first")
     three.run(1)
     return three
@@ -122,7 +122,7 @@
     assert "waits" in cluster.accepted_by_id
 
 
-def lead_by_hand(records, *, term):
+def make_leader(records, *, term):
     """Return a replica "b" that has just become leader, without a commit in its term."""
     made, actions = make_replica(records)
     for _ in range(3):
@@ -154,7 +154,7 @@
         _replica_records.TermRecord(2, None),
         _replica_records.Entry(2, 2, command, b"old"),
     )
-    leader = lead_by_hand(records, term=3)
+    leader = make_leader(records, term=3)
     leader.handle(ack(3, 2), 5.1)
     assert leader.status.commit_index == 0
     leader.handle(ack(3, 3), 5.1)
@@ -162,7 +162,7 @@
 
 
 def test_acknowledgements_of_another_term_or_disk_do_not_count():
-    leader = lead_by_hand((_replica_records.TermRecord(2, None),), term=3)
+    leader = make_leader((_replica_records.TermRecord(2, None),), term=3)
     leader.handle(node.Synced(99), 5.1)
     leader.handle(ack(2, 2), 5.1)
     leader.handle(ack(3, 2, follower=("a", 77)), 5.1)
@@ -208,7 +208,7 @@
     assert len(cluster.leader().commands) == 6
 
 
-def test_a_log_is_not_founded_beside_an_existing_one(cluster):
+def test_a_second_log_is_not_bootstrapped_beside_an_existing_one(cluster):
     cluster.crash("c")
     for replica_id in "ab":
         cluster.lose_disk(replica_id)
@@ -219,7 +219,7 @@
     assert cluster.leader() is None
 
 
-def test_a_far_behind_replica_gets_the_snapshot_in_pieces_and_resumes(cluster):
+def test_a_far_behind_replica_gets_the_snapshot_in_chunks_and_resumes(cluster):
     cluster.isolated.add("c")
     for number in range(40):
         cluster.accept(f"p{number}")
@@ -252,7 +252,7 @@
         assert host.state.log.last_index - host.state.log.base_index <= bound
 
 
-def test_leadership_is_handed_over_at_once_and_without_a_lease(cluster):
+def test_leadership_is_transferred_at_once_and_without_a_lease(cluster):
     before = cluster.time
     cluster.post("a", replica_types.TransferLeadership())
     assert not cluster.host_by_id["a"].replica.holds_lease(cluster.now(cluster.host_by_id["a"]))
@@ -290,7 +290,7 @@
     assert cluster.leader().replica.status.voters == replica_types.Voters(("b", "c", "d"))
 
 
-def test_proposals_beyond_the_bound_are_refused_as_not_taken():
+def test_proposals_beyond_the_bound_are_refused_as_certainly_not_appended():
     options = replica.ReplicaOptions(uncommitted_entries=3)
     alone, _ = make_replica(options=options, voters=("b",))
     for token in range(1, 4):
@@ -341,8 +341,8 @@
         assert candidate.status.role == role
 
 
-def test_a_lease_runs_from_the_sending_of_what_was_answered():
-    leader = lead_by_hand((), term=1)
+def test_a_lease_starts_when_the_answered_message_was_sent():
+    leader = make_leader((), term=1)
     leader.handle(ack(1, 1), 5.1)
     assert not leader.holds_lease(5.1)
     leader.handle(node.Synced(99), 5.8)
@@ -351,8 +351,8 @@
     assert not leader.holds_lease(5.95)
 
 
-def test_a_late_answer_of_a_lost_disk_does_not_replace_its_successor():
-    leader = lead_by_hand((), term=1)
+def test_a_late_reply_of_a_lost_disk_does_not_replace_its_successor():
+    leader = make_leader((), term=1)
     leader.handle(node.Synced(99), 5.8)
     leader.handle(ack(1, 2, sent_at=5.5), 5.8)
     leader.handle(ack(1, 0, follower=("a", 77), sent_at=5.2), 5.8)
@@ -361,8 +361,8 @@
     assert leader.status.voters == replica_types.Voters(("b", "c"), ("a",))
 
 
-def test_few_messages_are_under_way_to_one_follower():
-    leader = lead_by_hand((), term=1)
+def test_the_messages_in_flight_to_one_follower_are_bounded():
+    leader = make_leader((), term=1)
     leader.handle(ack(1, 2), 5.1)
     requests = []
     for number in range(30):
@@ -384,7 +384,7 @@
     assert follower.status.commit_index == 1
 
 
-def test_what_was_compared_with_one_leader_says_nothing_about_the_next():
+def test_entries_verified_with_one_leader_are_not_verified_with_the_next():
     command = _replica_records.EntryKind.COMMAND
     follower, _ = make_replica()
     new = tuple(_replica_records.Entry(index, 3, command) for index in (2, 3))
@@ -422,7 +422,7 @@
     assert not [reply for reply in sent(actions, object) if getattr(reply, "match_index", 0)]
 
 
-def test_pieces_of_two_snapshots_are_not_mixed_and_a_damaged_one_is_dropped():
+def test_chunks_of_two_snapshots_are_not_mixed_and_a_damaged_one_is_dropped():
     first, second = (
         _replica_snapshot.SnapshotTransfer(9, data, chunk_bytes=2) for data in (b"aaaa", b"bb")
     )
@@ -430,12 +430,12 @@
     assert receiver.accept(first.chunk(1, 0.0)) == 2
     chunk = second.chunk(1, 0.0)
     assert receiver.accept(chunk) == 2
-    assert receiver.whole(chunk) == b"bb"
+    assert receiver.pop_complete(chunk) == b"bb"
     receiver.accept(dataclasses.replace(chunk, data=b"xx"))
-    assert receiver.whole(chunk) is None
+    assert receiver.pop_complete(chunk) is None
 
 
-def test_an_empty_disk_is_bound_to_one_founder_and_votes_for_nobody_else():
+def test_an_empty_disk_accepts_one_founder_and_grants_no_votes():
     fresh = replica.Replica(
         replica_id="b",
         initial_voters=replica_types.Voters(("a", "b", "c")),
@@ -478,15 +478,15 @@
         replica.ReplicaOptions(lease_s=1.5)
 
 
-def test_the_example_agrees():
+def test_the_example_replicas_agree():
     assert set(map(tuple, replicated_log.main().values())) == {replicated_log.WORDS}
 
 
 @pytest.mark.parametrize("count", [3, 5])
-def test_after_a_restart_of_all_a_leader_is_there_well_before_a_lease_has_run_out(count):
+def test_after_a_restart_of_all_a_leader_is_elected_well_before_a_lease_expires(count):
     for seed in range(20):
         cluster = replica_cluster.Cluster(count, seed=seed)
-        cluster.lead()
+        cluster.wait_for_leader()
         cluster.accept("first")
         for replica_id in cluster.ids:
             cluster.crash(replica_id)
@@ -498,7 +498,7 @@
         cluster.accept("second")
 
 
-def test_nobody_is_elected_early_while_one_voter_says_nothing(cluster):
+def test_no_early_election_while_one_voter_is_silent(cluster):
     cluster.isolated.add("a")
     holder = cluster.lease_holder()
     assert holder is not None and holder.replica_id == "a"
@@ -514,7 +514,7 @@
     return node.MessageReceived("a", _replica_messages.LeadQuestion(term))
 
 
-def test_only_a_replica_that_can_never_lead_a_term_says_so():
+def test_only_a_replica_that_can_never_lead_a_term_sends_a_denial():
     term = _replica_records.TermRecord(3, None)
     follower, _ = make_replica([term])
     assert sent(follower.handle(_question(3), 0.1), _replica_messages.LeadDenial)
@@ -541,7 +541,7 @@
     assert cluster.leader().replica.status.term == term + 1
 
 
-def test_a_later_term_is_on_disk_before_a_replica_says_that_it_does_not_lead_it():
+def test_a_later_term_is_synced_before_its_denial_is_sent():
     follower, _ = make_replica([_replica_records.TermRecord(3, None)])
     actions = follower.handle(_question(5), 0.1)
     assert not sent(actions, _replica_messages.LeadDenial)
@@ -561,20 +561,20 @@
     assert not sent(behind.handle(node.TimeDue(), 0.5), _replica_messages.VoteRequest)
 
 
-def test_a_sound_voter_is_not_let_go_while_another_has_lost_its_disk(cluster):
+def test_a_live_voter_is_not_removed_while_another_has_lost_its_disk(cluster):
     cluster.lose_disk("b")
     cluster.isolated.add("b")
     cluster.start("b")
     cluster.run(2)
-    assert cluster.lead().replica_id == "a"
+    assert cluster.wait_for_leader().replica_id == "a"
     cluster.post("a", replica_types.ChangeVoters("go", remove="c"))
     assert "go" in cluster.refused_by_id
     cluster.post("a", replica_types.ChangeVoters("lost", remove="b"))
     cluster.run(2)
-    assert cluster.membership[1].names().voters == ("a", "c")
+    assert cluster.membership[1].to_voters().voters == ("a", "c")
 
 
-def test_a_campaign_that_a_later_term_overtook_wakes_nobody():
+def test_a_campaign_superseded_by_a_later_term_schedules_no_wake():
     """An overtaken one once asked to be woken at a time that had passed, over and over."""
     replica_b, _ = make_replica([_replica_records.TermRecord(3, None)])
     for name, disk in (("a", 1), ("c", 3)):
--- a/tests/test_replica_machine.py
+++ b/tests/test_replica_machine.py
@@ -13,7 +13,7 @@
 
 RATES = st.sampled_from([0.96, 1.0, 1.04])
 OFFSETS = st.sampled_from([-90.0, 0.0, 5000.0])
-PLACES = st.integers(0, 10_000)
+INDEXES = st.integers(0, 10_000)
 EXTRA_ID = "x"
 
 
@@ -23,12 +23,12 @@
     def __init__(self):
         super().__init__()
         self.cluster = replica_cluster.Cluster(self.count, seed=self.count)
-        self.cluster.lead()
+        self.cluster.wait_for_leader()
         self.proposals = 0
 
-    def host(self, place):
+    def host(self, index):
         hosts = list(self.cluster.host_by_id.values())
-        return hosts[place % len(hosts)]
+        return hosts[index % len(hosts)]
 
     def next_id(self):
         self.proposals += 1
@@ -42,15 +42,15 @@
         """
         if self.missing_disks(self.cluster.membership[1], host) >= (self.count - 1) // 2:
             return False
-        standing = [
+        active_memberships = [
             membership
             for other in self.cluster.host_by_id.values()
-            for membership in other.standing_memberships()
+            for membership in other.active_memberships()
         ]
         return all(
             self.missing_disks(membership, host) + 1 <= len(membership.voters) - membership.quorum
             or host.replica_id not in [member.replica_id for member in membership.voters]
-            for membership in standing
+            for membership in active_memberships
         )
 
     def missing_disks(self, membership, host):
@@ -58,13 +58,13 @@
         missing = 0
         for member in membership.members:
             other = self.cluster.host_by_id[member.replica_id]
-            is_whole = member in membership.voters and member.disk_id in other.disk_ids()
-            missing += other is not host and not is_whole
+            has_own_disk = member in membership.voters and member.disk_id in other.disk_ids()
+            missing += other is not host and not has_own_disk
         return missing
 
-    @stateful.rule(place=PLACES)
-    def propose(self, place):
-        self.cluster.propose(self.host(place).replica_id, self.next_id())
+    @stateful.rule(index=INDEXES)
+    def propose(self, index):
+        self.cluster.propose(self.host(index).replica_id, self.next_id())
 
     @stateful.rule(count=st.integers(1, 20))
     def propose_to_leader(self, count):
@@ -78,7 +78,7 @@
             self.cluster.step(seconds)
 
     @stateful.rule()
-    def run_until_led(self):
+    def run_until_leader(self):
         for _ in range(80):
             if self.cluster.lease_holder() is None:
                 self.cluster.step()
@@ -88,59 +88,59 @@
         self.cluster.time += seconds
         self.cluster.check_leases()
 
-    @stateful.rule(place=PLACES)
-    def deliver_one(self, place):
+    @stateful.rule(index=INDEXES)
+    def deliver_one(self, index):
         if self.cluster.packets:
-            self.cluster.deliver(self.cluster.packets.pop(place % len(self.cluster.packets)))
+            self.cluster.deliver(self.cluster.packets.pop(index % len(self.cluster.packets)))
 
-    @stateful.rule(place=PLACES)
-    def duplicate(self, place):
+    @stateful.rule(index=INDEXES)
+    def duplicate(self, index):
         packets = self.cluster.packets
         if packets:
-            packets.append(packets[place % len(packets)])
+            packets.append(packets[index % len(packets)])
 
-    @stateful.rule(place=PLACES, count=st.integers(1, 4))
-    def drop(self, place, count):
+    @stateful.rule(index=INDEXES, count=st.integers(1, 4))
+    def drop(self, index, count):
         for _ in range(count):
             if self.cluster.packets:
-                self.cluster.packets.pop(place % len(self.cluster.packets))
+                self.cluster.packets.pop(index % len(self.cluster.packets))
 
     @stateful.rule()
     def reverse(self):
         self.cluster.packets.reverse()
 
-    @stateful.rule(place=PLACES, kept_writes=st.integers(0, 3))
-    def crash(self, place, kept_writes):
-        self.cluster.crash(self.host(place).replica_id, kept_writes=kept_writes)
+    @stateful.rule(index=INDEXES, kept_writes=st.integers(0, 3))
+    def crash(self, index, kept_writes):
+        self.cluster.crash(self.host(index).replica_id, kept_writes=kept_writes)
 
-    @stateful.rule(place=PLACES, offset=OFFSETS, rate=RATES)
-    def restart(self, place, offset, rate):
-        host = self.host(place)
+    @stateful.rule(index=INDEXES, offset=OFFSETS, rate=RATES)
+    def restart(self, index, offset, rate):
+        host = self.host(index)
         self.cluster.crash(host.replica_id)
         self.cluster.start(host.replica_id, offset=offset, rate=rate)
 
-    @stateful.rule(place=PLACES, offset=OFFSETS, is_leader=st.booleans())
-    def lose_disk(self, place, offset, is_leader):
-        host = self.host(place)
+    @stateful.rule(index=INDEXES, offset=OFFSETS, is_leader=st.booleans())
+    def lose_disk(self, index, offset, is_leader):
+        host = self.host(index)
         if is_leader:
             host = self.cluster.leader() or host
         if self.may_lose_disk(host):
             self.cluster.lose_disk(host.replica_id)
             self.cluster.start(host.replica_id, offset=offset)
 
-    @stateful.rule(place=PLACES)
-    def isolate(self, place):
-        self.cluster.isolated.add(self.host(place).replica_id)
+    @stateful.rule(index=INDEXES)
+    def isolate(self, index):
+        self.cluster.isolated.add(self.host(index).replica_id)
 
-    @stateful.rule(place=PLACES, other=PLACES)
-    def block_one_way(self, place, other):
-        self.cluster.blocked.add((self.host(place).replica_id, self.host(other).replica_id))
+    @stateful.rule(index=INDEXES, other=INDEXES)
+    def block_one_way(self, index, other):
+        self.cluster.blocked.add((self.host(index).replica_id, self.host(other).replica_id))
 
-    @stateful.rule(place=PLACES, is_frozen=st.booleans())
-    def cut_follower_off(self, place, is_frozen):
+    @stateful.rule(index=INDEXES, is_frozen=st.booleans())
+    def cut_follower_off(self, index, is_frozen):
         """Part one follower from the leader, and perhaps freeze the leader as it campaigns."""
         leader = self.cluster.leader()
-        follower = self.host(place)
+        follower = self.host(index)
         if leader is None or follower.replica is None:
             return
         self.cluster.blocked.add((leader.replica_id, follower.replica_id))
@@ -158,19 +158,19 @@
         self.cluster.isolated.clear()
         self.cluster.blocked.clear()
 
-    @stateful.rule(place=PLACES)
-    def freeze(self, place):
-        host = self.host(place)
+    @stateful.rule(index=INDEXES)
+    def freeze(self, index):
+        host = self.host(index)
         if host.replica is not None:
             self.cluster.freeze(host.replica_id)
 
-    @stateful.rule(place=PLACES)
-    def thaw(self, place):
-        self.cluster.thaw(self.host(place).replica_id)
+    @stateful.rule(index=INDEXES)
+    def thaw(self, index):
+        self.cluster.thaw(self.host(index).replica_id)
 
-    @stateful.rule(place=PLACES)
-    def turn_slow_disk(self, place):
-        host = self.host(place)
+    @stateful.rule(index=INDEXES)
+    def turn_slow_disk(self, index):
+        host = self.host(index)
         host.is_disk_slow = not host.is_disk_slow
 
     @stateful.rule()
@@ -188,11 +188,11 @@
             event = replica_types.ChangeVoters(self.next_id(), add=EXTRA_ID)
             self.cluster.post(leader.replica_id, event)
 
-    @stateful.rule(place=PLACES)
-    def remove_voter(self, place):
+    @stateful.rule(index=INDEXES)
+    def remove_voter(self, index):
         leader = self.cluster.leader()
         if leader is not None and self.is_large:
-            event = replica_types.ChangeVoters(self.next_id(), remove=self.host(place).replica_id)
+            event = replica_types.ChangeVoters(self.next_id(), remove=self.host(index).replica_id)
             self.cluster.post(leader.replica_id, event)
 
     @property
@@ -208,7 +208,7 @@
             if host.replica is None:
                 cluster.start(host.replica_id)
         cluster.accept("last")
-        cluster.run_until(self.do_all_members_vote)
+        cluster.run_until(self.all_members_vote)
         cluster.accept("very last")
         expected = len(cluster.command_by_index)
         members = [
@@ -216,7 +216,7 @@
         ]
         cluster.run_until(lambda: all(len(host.commands) == expected for host in members))
 
-    def do_all_members_vote(self):
+    def all_members_vote(self):
         members = self.cluster.membership[1].members
         return all(self.cluster.is_voting(member.replica_id) for member in members)
 
@@ -235,12 +235,12 @@
     """Only its log holds the change, and one of the three others has lost its disk."""
     state = ReplicaMachine()
     state.add_voter()
-    state.block_one_way(other=1, place=2)
-    state.cut_follower_off(is_frozen=False, place=0)
-    state.freeze(place=0)
+    state.block_one_way(other=1, index=2)
+    state.cut_follower_off(is_frozen=False, index=0)
+    state.freeze(index=0)
     state.run(seconds=0.3, steps=13)
-    state.remove_voter(place=3)
-    state.crash(kept_writes=0, place=2)
-    state.cut_follower_off(is_frozen=False, place=1)
-    state.lose_disk(is_leader=False, offset=-90.0, place=0)
+    state.remove_voter(index=3)
+    state.crash(kept_writes=0, index=2)
+    state.cut_follower_off(is_frozen=False, index=1)
+    state.lose_disk(is_leader=False, offset=-90.0, index=0)
     state.teardown()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -133,7 +133,7 @@
 def test_a_program_prints_what_keeps_it_from_starting_and_exits_with_status_1(kind, capsys):
     with pytest.raises(SystemExit) as caught, program_exit.exit_on_error():
         raise kind("The disk is full.", remedy="Make room.")
-    assert caught.value.code == program_exit.START_STATUS == 1
+    assert caught.value.code == program_exit.START_FAILURE_STATUS == 1
     assert capsys.readouterr().err == "The disk is full. Make room.\n"
 
 
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -12,27 +12,27 @@
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=6))
-def test_any_cut_gives_the_same_events(cuts: list[int]) -> None:
-    splitter = sse.Splitter()
+def test_any_split_gives_the_same_events(cuts: list[int]) -> None:
+    parser = sse.EventParser()
     edges = [0, *sorted(cuts), len(STREAM)]
     events = []
     for start, end in zip(edges, edges[1:], strict=False):
-        events.extend(splitter.feed(STREAM[start:end]))
+        events.extend(parser.feed(STREAM[start:end]))
     assert tuple(events) == EVENTS
-    assert not splitter.pending
+    assert not parser.pending
 
 
-def test_an_event_that_has_not_ended_is_pending_and_not_returned() -> None:
-    splitter = sse.Splitter()
-    assert splitter.feed(b"data: [DONE]\n") == ()
-    assert splitter.pending
+def test_an_incomplete_event_is_pending_and_not_returned() -> None:
+    parser = sse.EventParser()
+    assert parser.feed(b"data: [DONE]\n") == ()
+    assert parser.pending
 
 
 @pytest.mark.parametrize("flood", [b"x" * 101, b"data: 1234\n" * 11])
-def test_an_event_without_end_is_refused(flood: bytes) -> None:
+def test_an_endless_event_is_rejected(flood: bytes) -> None:
     with pytest.raises(errors.UpstreamError):
-        sse.Splitter(event_bytes=100).feed(flood)
+        sse.EventParser(event_bytes=100).feed(flood)
 
 
-def test_what_encode_writes_is_read_back() -> None:
-    assert sse.Splitter().feed(sse.encode("{}", "7")) == (sse.Event("{}", "7"),)
+def test_encoded_events_are_parsed_back() -> None:
+    assert sse.EventParser().feed(sse.encode("{}", "7")) == (sse.Event("{}", "7"),)
