--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -52,10 +52,10 @@
         self, headers: dict[str, str] | None = None, **body: Any
     ) -> tuple[dict[str, str], list[sse.Event]]:
         response = await self.chat(headers, stream=True, **body)
-        splitter = sse.Splitter()
+        parser = sse.EventParser()
         events = []
         async for data in response.chunks():
-            events.extend(splitter.feed(data))
+            events.extend(parser.feed(data))
         return response.headers, events
 
 
@@ -98,7 +98,7 @@
     curio_world.run(main)
 
 
-def test_a_whole_answer_has_the_same_text_and_keeps_the_callers_bound() -> None:
+def test_an_unstreamed_response_has_the_same_text_and_respects_max_tokens() -> None:
     async def main() -> None:
         async with running() as (_, caller):
             response = await caller.chat(max_tokens=5)
@@ -112,7 +112,7 @@
     curio_world.run(main)
 
 
-def test_another_engine_continues_an_answer_and_proves_where() -> None:
+def test_another_engine_resumes_a_response_and_confirms_the_offset() -> None:
     async def main() -> None:
         async with running() as (_, first), running() as (_, second):
             _, whole = await first.stream()
@@ -124,7 +124,7 @@
     curio_world.run(main)
 
 
-def test_an_engine_told_to_ignore_offsets_gives_no_proof() -> None:
+def test_an_engine_that_ignores_offsets_confirms_none() -> None:
     async def main() -> None:
         async with running() as (_, caller):
             assert (await caller.call("POST", "/v1/faults", {"ignore_resume": True}))[0] == 200
@@ -135,7 +135,7 @@
     curio_world.run(main)
 
 
-def test_a_caller_that_goes_away_frees_its_slot_and_its_tokens_count_as_cancelled() -> None:
+def test_a_disconnect_frees_the_slot_and_counts_its_tokens_as_cancelled() -> None:
     async def main() -> None:
         async with running(slots=1, token_s=0.002) as (engine, caller):
             endless = [{"role": "user", "content": "[tokens=100000]"}]
@@ -153,7 +153,7 @@
     curio_world.run(main)
 
 
-def test_a_caller_that_goes_away_while_waiting_is_never_executed() -> None:
+def test_a_disconnect_in_the_queue_prevents_the_execution() -> None:
     async def main() -> None:
         async with running(slots=1, token_s=0.002) as (engine, caller):
             endless = [{"role": "user", "content": "[tokens=100000]"}]
@@ -169,7 +169,7 @@
     curio_world.run(main)
 
 
-def test_waiting_requests_start_by_priority_then_by_arrival() -> None:
+def test_queued_requests_start_by_priority_then_by_arrival() -> None:
     order: list[str] = []
 
     async def ask(caller: Caller, name: str, priority: str) -> None:
@@ -194,8 +194,8 @@
 
 
 def load(order_id: str, fence: int, name: str, **changed: Any) -> dict[str, Any]:
-    told = {"order_id": order_id, "fence": fence, "action": "load_model", "name": name}
-    return told | {"version": "v1", "size_bytes": 10, "bytes_per_second": 1e6} | changed
+    order = {"order_id": order_id, "fence": fence, "action": "load_model", "name": name}
+    return order | {"version": "v1", "size_bytes": 10, "bytes_per_second": 1e6} | changed
 
 
 def role(order_id: str, fence: int, wanted: str) -> dict[str, Any]:
@@ -203,7 +203,9 @@
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-def test_old_fencing_numbers_are_refused_only_by_engines_that_check(checks_fence: bool) -> None:
+def test_old_fencing_numbers_are_refused_only_by_engines_that_check_them(
+    checks_fence: bool,
+) -> None:
     async def main() -> None:
         async with running(checks_fence=checks_fence) as (engine, caller):
             new, old = load("7-1", 7, "large"), role("6-1", 6, "decode")
@@ -217,7 +219,7 @@
     curio_world.run(main)
 
 
-def test_an_order_outrun_by_a_newer_one_while_loading_is_refused() -> None:
+def test_an_order_superseded_while_loading_is_refused() -> None:
     async def main() -> None:
         async with running(checks_fence=True) as (engine, caller):
             await caller.call("POST", "/v1/faults", {"freeze_s": 60})
@@ -258,7 +260,7 @@
 
 
 @pytest.mark.parametrize(("checks_fence", "executions"), [(True, 1), (False, 2)])
-def test_an_order_of_the_client_is_carried_out_and_read_back(
+def test_an_order_of_the_client_is_executed_and_read_back(
     checks_fence: bool, executions: int
 ) -> None:
     class Held:
@@ -290,10 +292,10 @@
     curio_world.run(main)
 
 
-def test_a_stopping_engine_refuses_new_work_and_finishes_what_runs() -> None:
+def test_a_stopping_engine_refuses_new_work_and_finishes_running_requests() -> None:
     async def main() -> None:
         async with running(token_s=0.002) as (engine, caller):
-            begun = await curio.spawn(caller.stream)
+            started = await curio.spawn(caller.stream)
             await curio_world.until(lambda: engine.state.running == 1)
             stop = await curio.spawn(engine.stop)
             await curio_world.until(lambda: engine.host.stopping)
@@ -301,7 +303,7 @@
             await refused.read()
             assert (refused.status, refused.headers["medlar-outcome"]) == (503, "not_run")
             assert refused.headers["retry-after"] == "1"
-            assert text_of((await begun.join())[1]) == ANSWER.text()
+            assert text_of((await started.join())[1]) == ANSWER.text()
             await stop.join()
             with pytest.raises(errors.RequestNotSentError):
                 await caller.chat()
@@ -309,7 +311,7 @@
     curio_world.run(main)
 
 
-def test_faults_cut_refuse_and_crash() -> None:
+def test_faults_abort_refuse_and_crash() -> None:
     crashes: list[int] = []
 
     async def main() -> None:
@@ -364,7 +366,7 @@
 
 
 def test_loads_are_reported_late() -> None:
-    lag = _standin_lag.LoadLag(1.0)
+    lag = _standin_lag.DelayedLoad(1.0)
     assert lag.report(upstream.Load(running=1), 10.0) == upstream.Load()
     assert lag.report(upstream.Load(running=2), 10.5) == upstream.Load()
     assert lag.report(upstream.Load(running=3), 11.2) == upstream.Load(running=1, age_s=11.2 - 10.0)
@@ -381,12 +383,12 @@
 
 
 @pytest.mark.parametrize("flag", ["--slots=0", "--slots=x", "--nosuch=1", "extra", "--labels=a"])
-def test_wrong_flags_name_the_remedy(flag: str) -> None:
+def test_invalid_flags_are_rejected(flag: str) -> None:
     with pytest.raises(errors.SettingsError):
         _standin_flags.parse(standin_engine.EngineSettings, ["engine", flag])
 
 
-def test_the_description_holds_what_was_set() -> None:
+def test_the_announcement_contains_the_settings() -> None:
     async def main() -> None:
         async with running(name="e1", data_centre="salvador", labels={"a": "b"}) as (engine, _):
             text = msgspec.json.encode(engine.describe())
--- a/tests/test_standin_service.py
+++ b/tests/test_standin_service.py
@@ -102,7 +102,7 @@
     curio_world.run(main)
 
 
-def test_a_call_that_is_cut_before_its_reply_has_been_counted() -> None:
+def test_a_call_aborted_before_its_reply_is_counted() -> None:
     crashes: list[int] = []
 
     async def main() -> None:
@@ -121,17 +121,17 @@
     curio_world.run(main)
 
 
-def test_a_stopping_service_leaves_refuses_and_finishes_what_runs() -> None:
+def test_a_stopping_service_leaves_refuses_and_finishes_running_calls() -> None:
     async def main() -> None:
         async with entries(1) as (entry,), running(entries=(entry.address,)) as (service, call):
             await call("POST", "/v1/faults", {"freeze_s": 60})
-            begun = await curio.spawn(call, "POST", "/holds")
+            started = await curio.spawn(call, "POST", "/holds")
             await curio_world.until(lambda: service.executions.total == 1)
             stop = await curio.spawn(service.stop)
             await curio_world.until(lambda: service.host.stopping)
             assert (await call("POST", "/holds"))[0] == 503
             await call("POST", "/v1/faults", {})
-            assert (await begun.join())[0] == 200
+            assert (await started.join())[0] == 200
             await stop.join()
             assert entry.received[-1].state is upstream.UpstreamState.LEAVING
             assert service.executions.total == 1
@@ -139,7 +139,7 @@
     curio_world.run(main)
 
 
-def test_announcements_grow_in_sequence_and_go_where_the_reply_says() -> None:
+def test_announcements_have_rising_sequences_and_go_to_the_addresses_of_the_reply() -> None:
     async def main() -> None:
         async with entries(4) as (seed, a, b, c):
             seed.announce_to = a.announce_to = b.announce_to = (a.address, b.address, c.address)
@@ -178,7 +178,7 @@
     curio_world.run(main)
 
 
-def test_leaving_is_told_to_all_and_repeated_until_one_takes_note() -> None:
+def test_leaving_is_announced_to_all_and_retried_until_one_accepts() -> None:
     async def main() -> None:
         async with entries(2) as (seed, other):
             seed.announce_to = other.announce_to = (other.address,)
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -30,8 +30,10 @@
 @pytest.fixture
 def counted():
     made = telemetry.Telemetry()
-    made.observe(telemetry.Gauge.QUEUE_LENGTH, lambda: [telemetry.Reading(3, {"service": "desk"})])
-    made.observe(telemetry.Gauge.REVISION, lambda: [telemetry.Reading(7)])
+    made.observe(
+        telemetry.Gauge.QUEUE_LENGTH, lambda: [telemetry.GaugeValue(3, {"service": "desk"})]
+    )
+    made.observe(telemetry.Gauge.REVISION, lambda: [telemetry.GaugeValue(7)])
     made.start()
     yield made
     made.close()
@@ -88,10 +90,10 @@
     other.close()
 
 
-def test_gauges_are_read_anew_each_time():
+def test_gauges_are_read_at_each_render():
     values = [1.0]
     made = telemetry.Telemetry()
-    made.observe(telemetry.Gauge.UPSTREAMS, lambda: [telemetry.Reading(values[0])])
+    made.observe(telemetry.Gauge.UPSTREAMS, lambda: [telemetry.GaugeValue(values[0])])
     made.start()
     assert "medlar_upstreams 1.0" in lines(made)
     values[0] = 2.0
@@ -99,7 +101,7 @@
     made.close()
 
 
-def test_rendering_aside_gives_the_same_and_lets_other_tasks_run(counted):
+def test_rendering_in_a_thread_gives_the_same_and_lets_other_tasks_run(counted):
     for number in range(100):
         counted.record(dataclasses.replace(RECORD, account=f"a{number}"))
 
@@ -114,16 +116,16 @@
                 await curio.sleep(0)
 
         task = await curio.spawn(turn)
-        aside = await counted.render_aside()
+        aside = await counted.render_in_thread()
         assert turns > 1
         await task.cancel()
-        assert await counted.render_aside() == counted.render()
+        assert await counted.render_in_thread() == counted.render()
         assert b'account="a99"' in aside
 
     curio.run(main)
 
 
-def test_label_values_can_not_break_the_format(counted):
+def test_label_values_are_escaped(counted):
     counted.record(dataclasses.replace(RECORD, account='a"} 9\nevil 1'))
     assert not [line for line in lines(counted) if line.startswith("evil")]
 
@@ -137,7 +139,7 @@
 
 
 def test_a_full_tally_counts_the_rest_together():
-    counted = tally.Tally(("account",), most=2)
+    counted = tally.Tally(("account",), max_label_sets=2)
     for account in ("a", "b", "c", "d", "a"):
         counted.add(1, account)
     counts = {item.attributes["account"]: item.value for item in counted.observe(None)}
--- a/tests/test_upstream_gauges.py
+++ b/tests/test_upstream_gauges.py
@@ -14,7 +14,7 @@
 from medlarfork.entry import _upstream_gauges, entry_api, entry_status, telemetry
 from medlarfork.http import http_server
 from medlarfork.pool import pool, pool_events, pool_options, pool_view
-from tests import entry_world
+from tests import entry_harness
 
 
 class Exchange:
@@ -117,7 +117,7 @@
         entry_status.UpstreamStatus(f"u{number}", "http://u", "lm/0", "ready", 0.1, (), use)
         for number in range(5_000)
     ]
-    assert len(_upstream_gauges._shown(many)) == _upstream_gauges._SERIES_LIMIT
+    assert len(_upstream_gauges._shown(many)) == _upstream_gauges._MAX_UPSTREAMS
 
 
 @pytest.mark.parametrize(
@@ -130,20 +130,22 @@
         ({"drained": True, "usable": False}, False, "an order has taken it out"),
     ],
 )
-def test_status_and_explain_tell_an_upstreams_health(monkeypatch, health, selected, piece):
-    world = entry_world.World()
-    world.announce("e1", "u1")
+def test_status_and_explain_show_an_upstreams_health(monkeypatch, health, selected, piece):
+    simulation = entry_harness.EntrySimulation()
+    simulation.announce("e1", "u1")
     monkeypatch.setattr(pool.Pool, "upstream_views", lambda _: (_seen(**health),))
-    raw = entry_world.chat("x").raw
-    owner = world.node_by_id["e1"].explain(raw, "shop", world.now).pools[0].owner
-    explained = world.node_by_id[owner].explain(raw, "shop", world.now)
+    raw = entry_harness.chat("x").raw
+    owner = simulation.node_by_id["e1"].explain(raw, "shop", simulation.now).pools[0].owner
+    explained = simulation.node_by_id[owner].explain(raw, "shop", simulation.now)
     found = {item.upstream_id: item for item in explained.pools[0].candidates}["u1"]
     assert found.selected is selected
     assert piece in found.reason
-    listed = json.loads(msgspec.json.encode(world.node_by_id[owner].status(world.now)))["upstreams"]
+    listed = json.loads(msgspec.json.encode(simulation.node_by_id[owner].status(simulation.now)))[
+        "upstreams"
+    ]
     use = {item["upstream_id"]: item for item in listed}["u1"]["use"]
     assert (use["limit"], use["slots"]) == (2, 4)
-    assert use["health"] == _seen(**health).health(world.now).value
+    assert use["health"] == _seen(**health).health(simulation.now).value
 
 
 def _seen(**health):
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -141,7 +141,7 @@
     assert route.targets == (routing.Target("llm"),)
     assert route.has_prompt
     assert route.may_resume
-    assert whole.services[0].engine == routing.EngineFacts(32, 5000, 4, 131_072, 260_000.0)
+    assert whole.services[0].engine == routing.EngineSpec(32, 5000, 4, 131_072, 260_000.0)
     assert whole.accounts == (routing.Account("north", ("k-1",), 1),)
     routing_check.require_valid(whole)
 
--- a/tests/test_view_delta.py
+++ b/tests/test_view_delta.py
@@ -13,7 +13,7 @@
 from medlarfork.control import _heartbeat_service, _member_leases, replicated_state
 from medlarfork.entry import control_session, entry_options
 from medlarfork.links import wire
-from tests import entry_world
+from tests import entry_harness
 
 CODEC = wire.make_codec()
 OTHERS = tuple(f"e{number}" for number in range(2, 8))
@@ -50,7 +50,7 @@
         self.session = control_session.ControlSession(
             entry_options.EntryNodeOptions("e1", 1, control_ids=("c1",)),
             generator=random.Random(1),
-            member_now=lambda: entry_world.member_of("e1"),
+            member_now=lambda: entry_harness.member_of("e1"),
         )
         self.elect()
 
@@ -65,7 +65,7 @@
 
     def beat(self, entry_id, **changes):
         self.number += 1
-        sender = dataclasses.replace(entry_world.member_of(entry_id), incarnation=1)
+        sender = dataclasses.replace(entry_harness.member_of(entry_id), incarnation=1)
         sender = dataclasses.replace(self.member_by_id.get(entry_id, sender), **changes)
         self.member_by_id[entry_id] = sender
         self.take(heartbeat.Heartbeat(sender, self.number, 0, (0, 0)))
@@ -116,7 +116,7 @@
             case ("join", entry_id):
                 self.beat(entry_id)
             case ("restart", entry_id):
-                before = self.member_by_id.get(entry_id, entry_world.member_of(entry_id))
+                before = self.member_by_id.get(entry_id, entry_harness.member_of(entry_id))
                 self.beat(entry_id, incarnation=before.incarnation + 1)
             case ("leave", entry_id):
                 self.leave(entry_id)
@@ -267,7 +267,7 @@
 
 
 def delta_of(base, version, **changes):
-    delta = heartbeat.ViewDelta(base, version, (entry_world.member_of("e9"),), (), {}, 2)
+    delta = heartbeat.ViewDelta(base, version, (entry_harness.member_of("e9"),), (), {}, 2)
     return dataclasses.replace(delta, **changes)
 
 
@@ -288,7 +288,7 @@
     simulation = Simulation()
     simulation.log.term = 1
     (sent,) = simulation.session.beat(0.0)
-    view = member.View((1, 1), (entry_world.member_of("e1"),))
+    view = member.View((1, 1), (entry_harness.member_of("e1"),))
     for fields in ({"view": view}, {"view_delta": delta}):
         reply = heartbeat.HeartbeatReply(sent.message.number, 1, 0, **fields)
         simulation.session.handle(node.MessageReceived("c1", reply), 0.1)
