--- a/src/medlarfork/_log_output.py
+++ b/src/medlarfork/_log_output.py
@@ -1,6 +1,6 @@
-"""Write log lines without ever waiting for their reader, and bound how many there are.
+"""Non-blocking, rate-limited output of log lines.
 
-What can't be written is dropped and counted; the next line that is written tells how many were.
+Lines that can't be written are dropped and counted; the next line written reports their number.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from typing import TextIO
 
 WRITE_BYTES = select.PIPE_BUF
-"""Bytes written at once: what a pipe that is ready takes without blocking, by POSIX."""
+"""Maximum bytes per write: POSIX lets a writable pipe accept this many without blocking."""
 
 _DROPPED_FIELD = "dropped_lines"
-"""Field of a line that tells how many were dropped before it."""
+"""Field with the number of lines that were dropped before a line."""
 
 
 class LineHandler(logging.Handler):
-    """Write each record as a line; a reader that stands still costs lines, not time."""
+    """Log handler that drops lines instead of blocking when the reader of the stream is stalled."""
 
     def __init__(self, stream: TextIO, *, lines_per_s: int) -> None:
-        """Write to ``stream`` at most ``lines_per_s`` lines in each second."""
+        """Write to ``stream`` at most ``lines_per_s`` lines a second."""
         super().__init__()
         self._stream = stream
         self._poll = _poll_for(stream)
@@ -41,7 +41,7 @@
             self._limit.dropped += 1 + _count_reported(record)
 
     def _write(self, line: str) -> bool:
-        """Return whether the whole line was taken."""
+        """Return whether the complete line was written."""
         if self._poll is None:
             self._stream.write(line)
             self._stream.flush()
@@ -60,16 +60,16 @@
 
 
 class LineLimit(logging.Filter):
-    """Drop lines beyond a number a second, and say in a later line how many were dropped.
+    """Filter that limits the rate of lines and reports the number of dropped ones in a later line.
 
-    Warnings and errors always pass: a process has few, and they are what is looked for.
+    Warnings and errors always pass, because they are few and matter most when searching the log.
 
     Attributes:
-        dropped: Lines that were dropped and that no written line has told of.
+        dropped: Number of dropped lines that no written line has reported yet.
     """
 
     def __init__(self, lines_per_s: int) -> None:
-        """Allow ``lines_per_s`` lines in each second."""
+        """Allow ``lines_per_s`` lines a second."""
         super().__init__()
         self._lines_per_s = lines_per_s
         self._second = 0
@@ -77,7 +77,7 @@
         self.dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Say whether a record is to be written."""
+        """Return whether a record is to be written."""
         second = int(record.created)
         if second != self._second:
             self._second = second
@@ -93,12 +93,12 @@
 
 
 def _count_reported(record: logging.LogRecord) -> int:
-    """Return how many dropped lines a record tells of."""
+    """Return the number of dropped lines that a record reports."""
     return record.msg.get(_DROPPED_FIELD, 0) if isinstance(record.msg, dict) else 0
 
 
 def _poll_for(stream: TextIO) -> select.poll | None:
-    """Return what tells whether a stream takes bytes now; None for one without a descriptor."""
+    """Return a poll object for the stream's writability; None if it has no descriptor."""
     try:
         descriptor = stream.fileno()
     except (OSError, io.UnsupportedOperation):
--- a/src/medlarfork/_quick_start.py
+++ b/src/medlarfork/_quick_start.py
@@ -1,10 +1,11 @@
-"""Start a program quickly: import only what it uses, and collect no garbage meanwhile.
-
-The load that this answers: a host's process is killed, and its callers wait until it serves again;
-a fleet of hundreds is started at once, and again after a loss of power. Nearly all of that time
-goes into imports, so what serving does not need is left out or put off: other processes, OpenSSL
-and the compiling of data classes. A program calls ``begin`` before its other imports and ``end``
-once it is wired; code that embeds the package calls neither.
+"""Fast program start: fewer imports, saved compiled methods, and no garbage collection meanwhile.
+
+Start time matters when a process was killed and its callers wait until it serves again, and when
+hundreds of processes start at once, as after a power failure. Imports take nearly all of it, so
+imports that serving does not need are blocked or deferred (asyncio, multiprocessing and OpenSSL),
+and the methods of data classes can be compiled in advance. A program calls ``begin`` before its
+other imports and ``end`` once its components are created; code that embeds the package calls
+neither.
 """
 
 from __future__ import annotations
@@ -29,19 +30,19 @@
         "FAILURE": b"#FAILURE#",
     },
 }
-"""Modules of the standard library that libraries import for uses which this product does not make
-of them, with what those look up at once: an event loop and other processes."""
+"""Modules of the standard library that libraries import for features unused here, such as another
+event loop and multiprocessing, with the attributes that the libraries read during their import."""
 
 BLOCKED_MODULES = ("ssl", "_hashlib")
-"""Modules without which libraries do as well: no link of this product uses TLS, and the interpreter
-has its own hash functions. Loading OpenSSL takes a twentieth of a start."""
+"""Modules that are optional for libraries: no link of this product uses TLS, and the interpreter
+has its own hash functions. Loading OpenSSL takes a twentieth of the start time."""
 
 
 class _DeferredModule(types.ModuleType):
-    """Stand in for a module until something is looked up in it that was not given."""
+    """Placeholder of a module, which is imported when a missing attribute is read."""
 
     def __getattr__(self, name: str) -> Any:
-        """Import the module and take its place; called for names that are not there."""
+        """Import the real module and copy its attributes; called for missing attributes."""
         if sys.modules.get(self.__name__) is self:
             del sys.modules[self.__name__]
         module = importlib.import_module(self.__name__)
@@ -50,19 +51,19 @@
 
 
 class CompiledMethods:
-    """Keep the compiled code of the methods that ``dataclasses`` writes for each class.
+    """Saved compiled code of the methods that ``dataclasses`` generates for each class.
 
-    It writes them as text and compiles it anew at each start, which took a fifth of that: an entry
-    host loads 74 such classes with 390 methods.
+    ``dataclasses`` generates source text and compiles it at each start. This took a fifth of the
+    start time, because an entry host loads 74 data classes with 390 methods.
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without compiled code."""
         self._code_by_text: dict[str, types.CodeType] = {}
         self._saved = b""
 
     def load(self, path: str) -> None:
-        """Read what ``save`` wrote; nothing if there is no such file, or of another interpreter."""
+        """Read a file of ``save``; ignored if missing or of another interpreter version."""
         try:
             with open(path, "rb") as file:  # noqa: PTH123 - pathlib is not loaded yet
                 data = file.read()
@@ -73,18 +74,18 @@
             self._code_by_text = marshal.loads(data[len(magic) :])
 
     def save(self, path: str) -> None:
-        """Write what was compiled, in place of what is there."""
+        """Write the compiled code, replacing the file atomically."""
         data = importlib.util.MAGIC_NUMBER + marshal.dumps(self._code_by_text)
         with open(f"{path}.new", "wb") as file:  # noqa: PTH123 - as above
             file.write(data)
         os.replace(f"{path}.new", path)  # noqa: PTH105 - as above
 
     def begin(self) -> None:
-        """Have ``dataclasses`` run this instead of compiling: a name of its own hides ``exec``."""
+        """Make ``dataclasses`` use the saved code, by shadowing ``exec`` in its namespace."""
         dataclasses.exec = self._run  # type: ignore[attr-defined]
 
     def end(self) -> None:
-        """Let it compile again, and forget the code."""
+        """Restore ``exec`` in ``dataclasses``, and release the code."""
         del dataclasses.exec  # type: ignore[attr-defined]
         self._code_by_text = {}
 
@@ -96,14 +97,14 @@
 
 
 compiled_methods = CompiledMethods()
-"""Those of this process."""
+"""Compiled methods of this process."""
 
 
 def begin(compiled_path: str = "") -> None:
-    """Stop collecting garbage, and put off or leave out the imports of what is not used.
+    """Disable garbage collection, and defer or block the imports of unused modules.
 
     Args:
-        compiled_path: Where ``CompiledMethods.save`` wrote, if anywhere.
+        compiled_path: File that ``CompiledMethods.save`` wrote; empty for none.
     """
     gc.disable()
     for name, attributes in DEFERRED_MODULES.items():
@@ -116,7 +117,7 @@
 
 
 def end() -> None:
-    """Collect garbage again, among what comes from now on: what was imported stays."""
+    """Enable garbage collection again, excluding existing objects, and unblock the modules."""
     compiled_methods.end()
     for name in BLOCKED_MODULES:
         if sys.modules.get(name, sys) is None:
@@ -126,7 +127,7 @@
 
 
 def _defer(name: str, attributes: dict[str, Any]) -> None:
-    """Have a module imported only when something of it is used that is not given."""
+    """Defer the import of a module until an attribute outside ``attributes`` is read."""
     if name in sys.modules:
         return
     module = _DeferredModule(name)
--- a/src/medlarfork/_stop_signal.py
+++ b/src/medlarfork/_stop_signal.py
@@ -1,4 +1,4 @@
-"""Wait under curio for the signals that ask a program to stop."""
+"""Handling of stop signals under curio."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import curio.traps
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-"""Signals that ask for a graceful stop."""
+"""Signals that request a graceful stop."""
 
 
 class StopSignal:
-    """Catch stop signals from ``start`` to ``close``; the main thread only."""
+    """Catches stop signals between ``start`` and ``close``; usable only in the main thread."""
 
     def __init__(self, signals: Iterable[signal.Signals] = STOP_SIGNALS) -> None:
         """Prepare to catch these signals."""
@@ -26,13 +26,13 @@
         self._old_handlers: dict[signal.Signals, signal._HANDLER] = {}
 
     def start(self) -> None:
-        """Catch the signals from now on."""
+        """Start to catch the signals."""
         self._old_writer = signal.set_wakeup_fd(self._writer.fileno(), warn_on_full_buffer=False)
         for number in self._signals:
             self._old_handlers[number] = signal.signal(number, _ignore)
 
     def close(self) -> None:
-        """Give the signals back to their earlier handlers."""
+        """Restore the previous signal handlers."""
         for number, handler in self._old_handlers.items():
             signal.signal(number, handler)
         self._old_handlers.clear()
@@ -41,17 +41,17 @@
         self._writer.close()
 
     async def wait(self) -> signal.Signals:
-        """Return the next signal that was caught."""
+        """Wait for the next caught signal and return it."""
         while True:
             try:
                 number = self._reader.recv(1)[0]
             except BlockingIOError:
                 await curio.traps._read_wait(self._reader)
                 continue
-            # Other signals that have a handler of their own arrive here too.
+            # Signals with other Python handlers are written to the wakeup descriptor, too.
             if number in self._signals:
                 return signal.Signals(number)
 
 
 def _ignore(number: int, frame: types.FrameType | None) -> None:
-    """Let the signal pass; it has been written to the pair already."""
+    """Do nothing: the interpreter has already written the signal to the wakeup descriptor."""
--- a/src/medlarfork/codec.py
+++ b/src/medlarfork/codec.py
@@ -1,6 +1,6 @@
-"""Encode messages for links and journals: a kind name and a MessagePack body.
+"""Encode messages for links and journals as a kind name and a MessagePack body.
 
-Only the registered classes can be decoded, and every field is checked against its type.
+Only registered classes can be decoded, and every field is validated against its type.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class Codec:
-    """Encode and decode a fixed set of frozen data classes."""
+    """Encode and decode the instances of a fixed set of frozen data classes."""
 
     def __init__(self, kinds: Iterable[type]) -> None:
-        """Register the classes; each is named by its class name, which must be unique."""
+        """Register the classes; the class names are the kind names and must be unique."""
         self._kind_by_name = {kind.__name__: kind for kind in kinds}
         self._encoder = msgspec.msgpack.Encoder()
 
@@ -41,7 +41,7 @@
             ) from error
 
     def pack(self, message: Any) -> bytes:
-        """Return kind and body in one byte string, for journals."""
+        """Return kind name and body as one byte string, for journals."""
         return self._encoder.encode(self.encode(message))
 
     def unpack(self, data: bytes) -> Any:
--- a/src/medlarfork/declared/__init__.py
+++ b/src/medlarfork/declared/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration that operators declare in a file: its model, checks and differences."""
+"""Configuration that operators declare in a file: model, file format, validation and deltas."""
--- a/src/medlarfork/declared/_finding.py
+++ b/src/medlarfork/declared/_finding.py
@@ -1,4 +1,4 @@
-"""Describe what is wrong with a declared configuration."""
+"""Findings of the configuration check, and the declared objects that they refer to."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FindingKind(enum.StrEnum):
-    """Identify a kind of finding to programs."""
+    """Kind of a finding."""
 
     BAD_DIGEST = "bad_digest"
     BAD_NAME = "bad_name"
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """Report one mistake in a configuration.
+    """One mistake in a configuration.
 
     Attributes:
-        kind: What sort of mistake it is.
-        key: Where it is, such as ``class.counter.selector``.
+        kind: Kind of mistake.
+        key: Dotted key of the value, such as ``class.counter.selector``.
         problem: What is wrong, without a full stop.
-        remedy: What to do about it, as a full sentence.
-        location: The same as ``key`` by position: table, index within it, and field.
+        remedy: How to correct it, as a full sentence.
+        location: Position of the value: table, index within the table, and field.
     """
 
     kind: FindingKind
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """Name one declared object and where it stands."""
+    """One declared object with its table and its index within the table."""
 
     table: str
     index: int
@@ -75,7 +75,7 @@
 
     @property
     def name(self) -> str:
-        """Return what the object is known by."""
+        """Return the name that identifies the object within its table."""
         match self.value:
             case configurations.Call(service, method, path):
                 return f"{service} {method} {path}"
@@ -94,7 +94,7 @@
 
 
 def items(configuration: configurations.Configuration) -> tuple[Item, ...]:
-    """Return every declared object."""
+    """Return all declared objects, table by table."""
     tables = {
         "account": configuration.accounts,
         "class": configuration.classes,
--- a/src/medlarfork/declared/_label_domains.py
+++ b/src/medlarfork/declared/_label_domains.py
@@ -1,8 +1,8 @@
-"""Work out which labels can occur together, to find selectors that never match.
+"""Determine which labels can occur together, to detect selectors that never match.
 
-A request carries labels that its account fixes and labels that its target fixes: a model, or a
-plain service and the call it matched. The two sets of keys don't share a key, so a selector can
-match some request exactly if it can match some account and, on its own, some target.
+Some labels of a request are set by its account, the others by its target: a model, or a plain
+service and the matched call. No key belongs to both sets. A selector can therefore match some
+request if and only if it can match some account and, independently, some target.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 """Values of the label ``method``."""
 
 _OTHER = "*other*"
-"""Stand-in for any value that a selector does not name, where any value may occur."""
+"""Placeholder for any value that a selector does not mention, for labels with arbitrary values."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Domain:
-    """Hold the values that one label can have.
+    """Set of values that one label can have.
 
     Attributes:
-        values: The values; None if any may occur.
+        values: The possible values; None if any value is possible.
         optional: Whether the label may also be absent.
     """
 
@@ -34,7 +34,7 @@
     optional: bool = False
 
     def merged(self, other: Domain) -> Domain:
-        """Return the domain of a label that may come from either."""
+        """Return the union of both domains."""
         optional = self.optional or other.optional
         if self.values is None or other.values is None:
             return Domain(None, optional)
@@ -42,14 +42,14 @@
 
 
 DomainByKey = Mapping[str, Domain]
-"""What one account or target fixes; a key that is not there is always absent."""
+"""Domains of the labels that one account or target sets; keys not in it are always absent."""
 
 _ALWAYS_ABSENT = Domain(frozenset(), optional=True)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Hold what a request's target fixes, for requests of one kind of service."""
+    """Kind of service of one possible request target, and the label domains that it sets."""
 
     kind: configurations.ServiceKind
     domains: DomainByKey
@@ -57,12 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LabelSpace:
-    """Hold the labels that requests of a configuration can carry.
+    """All labels that requests can carry under a configuration.
 
     Attributes:
-        account_keys: The keys that accounts decide; targets decide all others.
-        accounts: What each account fixes.
-        targets: What each target fixes.
+        account_keys: Keys that accounts set; targets set all others.
+        accounts: Label domains of each account.
+        targets: Label domains of each target.
     """
 
     account_keys: frozenset[str]
@@ -70,7 +70,7 @@
     targets: tuple[Target, ...]
 
     def domain_by_key(self) -> dict[str, Domain]:
-        """Return for each key that can occur all values it can have; each may be absent."""
+        """Return the domain of each possible key over all requests; every key may be absent."""
         merged: dict[str, Domain] = {}
         for domains in (*self.accounts, *(target.domains for target in self.targets)):
             for key, domain in domains.items():
@@ -78,7 +78,7 @@
         return merged
 
     def has_account(self, requirements: Iterable[labels.Requirement]) -> bool:
-        """Return whether some account's requests can meet the requirements."""
+        """Return whether requests of some account can meet the requirements on account labels."""
         relevant = [item for item in requirements if item.key in self.account_keys]
         return any(satisfiable(relevant, domains) for domains in self.accounts)
 
@@ -87,7 +87,12 @@
         requirements: Iterable[labels.Requirement],
         kind: configurations.ServiceKind | None = None,
     ) -> bool:
-        """Return whether requests to some target, of a kind if given, can meet them."""
+        """Return whether requests to some target can meet the requirements on target labels.
+
+        Args:
+            requirements: The requirements; those on account labels are ignored.
+            kind: Kind of service that the target must have; None for any.
+        """
         relevant = [item for item in requirements if item.key not in self.account_keys]
         return any(
             satisfiable(relevant, target.domains)
@@ -97,7 +102,7 @@
 
 
 def satisfiable(requirements: Iterable[labels.Requirement], domains: DomainByKey) -> bool:
-    """Return whether some label set within the domains meets all requirements."""
+    """Return whether some set of labels within the domains meets all requirements."""
     by_key: dict[str, list[labels.Requirement]] = {}
     for requirement in requirements:
         by_key.setdefault(requirement.key, []).append(requirement)
@@ -108,10 +113,10 @@
 
 
 def upstream_domains(configuration: configurations.Configuration) -> dict[str, Domain]:
-    """Return the labels that upstreams can announce, with their values.
+    """Return the domains of the labels that upstreams can announce.
 
-    Upstreams are expected to announce ``service``, which nobody can declare since requests have
-    a derived label of that name.
+    Upstreams are expected to announce ``service``. It can't be declared, because requests have a
+    derived label of the same name.
     """
     return {**_declared_domains(configuration), "service": Domain(None, optional=True)}
 
@@ -120,12 +125,12 @@
     """Return the labels that requests can carry.
 
     Args:
-        configuration: What declares them.
-        routed: Whether ``service`` is the service after routing, as classes see it, or the one
-            that the caller asked for, as routes see it.
+        configuration: The configuration that declares them.
+        routed: Whether the label ``service`` holds the service after routing, which class selectors
+            match, or the service that the caller requested, which route selectors match.
     """
     named = set().union(*(account.labels for account in configuration.accounts))
-    # A derived key overrides an account's label; it is a mistake that is reported elsewhere.
+    # Derived labels override account labels of the same key, which ``_object_check`` reports.
     account_keys = {"account", *named.difference(classify.DERIVED_KEYS)}
     targets = tuple(_targets(configuration, frozenset(account_keys), routed))
     accounts = tuple(
--- a/src/medlarfork/declared/_object_check.py
+++ b/src/medlarfork/declared/_object_check.py
@@ -1,4 +1,4 @@
-"""Check each declared object by itself: its names, digests, numbers and labels."""
+"""Validate each declared object on its own: names, digests, numbers and labels."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Range:
-    """Bound a number; ``above`` itself is not allowed, ``minimum`` and ``maximum`` are."""
+    """Allowed range of a number: ``above`` is exclusive, ``minimum`` and ``maximum`` inclusive."""
 
     minimum: float = -math.inf
     maximum: float = math.inf
@@ -62,7 +62,7 @@
 
 
 def check_item(item: _finding.Item) -> Iterator[_finding.Finding]:
-    """Yield what is wrong with one object, whatever else is declared."""
+    """Yield the findings about one object that don't depend on other objects."""
     yield from _check_name(item)
     yield from _check_ranges(item)
     match item.value:
@@ -81,7 +81,7 @@
 def check_deployment(
     configuration: configurations.Configuration,
 ) -> Iterator[_finding.Finding]:
-    """Yield what is wrong with the settings of the whole deployment."""
+    """Yield the findings about the settings of the deployment."""
     lease_s = configuration.engine_lease_s
     if not _LEASE_RANGE.holds(lease_s):
         yield _finding.Finding(
@@ -96,7 +96,7 @@
 def _check_name(item: _finding.Item) -> Iterator[_finding.Finding]:
     if isinstance(item.value, configurations.Call | configurations.LabelKey):
         return
-    # Names serve as label values and, for services, as parts of paths.
+    # Names are used as label values and, for services, as path segments.
     name = item.name
     if _syntax_problem("account", name) or "/" in name or "*" in name:
         yield item.finding(
@@ -138,9 +138,9 @@
 def _check_class(
     item: _finding.Item, declared: configurations.RequestClass
 ) -> Iterator[_finding.Finding]:
-    first = declared.first_token_target_s
-    whole = declared.whole_target_s
-    for field, target in (("first_token_target_s", first), ("whole_target_s", whole)):
+    first_token_s = declared.first_token_target_s
+    whole_s = declared.whole_target_s
+    for field, target in (("first_token_target_s", first_token_s), ("whole_target_s", whole_s)):
         if target is not None and target > declared.deadline_s:
             yield item.finding(
                 _finding.FindingKind.TARGET,
@@ -148,11 +148,11 @@
                 f"{target:g} is longer than deadline_s, {declared.deadline_s:g}",
                 "Lower the target or raise deadline_s.",
             )
-    if first is not None and whole is not None and first > whole:
+    if first_token_s is not None and whole_s is not None and first_token_s > whole_s:
         yield item.finding(
             _finding.FindingKind.TARGET,
             "first_token_target_s",
-            f"{first:g} is longer than whole_target_s, {whole:g}",
+            f"{first_token_s:g} is longer than whole_target_s, {whole_s:g}",
             "Lower it or raise whole_target_s.",
         )
     if declared.preemptible and not declared.repeatable:
@@ -232,7 +232,7 @@
 
 
 def _syntax_problem(key: str, value: str) -> tuple[str, str] | None:
-    """Return what is wrong with a label, and the remedy."""
+    """Return the problem with a label and its remedy; None if the label is valid."""
     try:
         labels.check_label(key, value)
     except errors.SelectorSyntaxError as error:
--- a/src/medlarfork/declared/_selector_check.py
+++ b/src/medlarfork/declared/_selector_check.py
@@ -1,4 +1,4 @@
-"""Check selectors: that each can match something, and that no two claim the same requests."""
+"""Validate selectors: each can match something, and no two are ambiguous for a request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ParsedItem:
-    """Hold an object with its selector, and the kind of service its requests go to, if fixed."""
+    """A declared object with its parsed selector; for a route also its service's kind."""
 
     item: _finding.Item
     selector: labels.Selector
@@ -36,7 +36,7 @@
 def findings(
     configuration: configurations.Configuration, items: tuple[_finding.Item, ...]
 ) -> Iterator[_finding.Finding]:
-    """Yield what is wrong with selectors; those that don't parse are passed over."""
+    """Yield the findings about selectors; those that don't parse are skipped."""
     routed = _label_domains.request_space(configuration, routed=True)
     unrouted = _label_domains.request_space(configuration, routed=False)
     classes = _parsed(configuration, items, configurations.RequestClass)
@@ -103,7 +103,7 @@
 def _unknown_labels(
     parsed_item: _ParsedItem, domain_by_key: Mapping[str, _label_domains.Domain], carrier: str
 ) -> Iterator[_finding.Finding]:
-    """Yield a finding for each label key and value that can't occur."""
+    """Yield a finding for each label key and value of the selector that can never occur."""
     for requirement in parsed_item.selector.requirements:
         key = requirement.key
         domain = domain_by_key.get(key)
@@ -178,7 +178,7 @@
 
 
 def _abbreviated(values: frozenset[str]) -> str:
-    """Return the values as text, cut short where there are many."""
+    """Return the values as text, at most 12 of them."""
     shown = sorted(values)[:12]
     more = len(values) - len(shown)
     return ", ".join(shown) + (f" and {more} more" if more else "")
--- a/src/medlarfork/declared/configuration.py
+++ b/src/medlarfork/declared/configuration.py
@@ -1,4 +1,4 @@
-"""Model the configuration that operators declare: accounts, classes, services and selectors."""
+"""Model of the declared configuration: accounts, request classes, services, routes, calls."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from medlarfork import labels
 
 DEFAULT_LEASE_S = 3.0
-"""How long an engine or service that falls silent still receives work, in seconds."""
+"""Default time for which an upstream that stops announcing itself still gets work, in seconds."""
 
 LOWEST_TIER = 8
-"""The tier of the lowest priority."""
+"""Number of the tier with the lowest priority."""
 
 
 class ServiceKind(enum.StrEnum):
-    """Tell model engines, spoken to with the OpenAI API, from plain HTTP services."""
+    """Kind of a service: model engines with the OpenAI API, or plain HTTP."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountLimits:
-    """Bound what one client account may use of each service; None means no bound."""
+    """Limits on the use of each service by one client account; None means unlimited."""
 
     concurrent: int | None = None
     requests_per_second: float | None = None
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Account:
-    """Declare a client account.
+    """A client account.
 
     Attributes:
         name: Unique name.
         key_sha256: Hex SHA-256 digests of the API keys accepted for the account.
         labels: Labels that every request of the account carries.
         weight: Share among accounts of the same tier when capacity is short.
-        limits: Bounds on use.
+        limits: Limits on use.
     """
 
     name: str
@@ -52,18 +52,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Declare a class of requests that share a latency target and a priority tier.
+    """A class of requests that share latency targets and a priority tier.
 
     Attributes:
         name: Unique name.
         tier: Priority; 1 is the highest.
         selector: Text of the selector over request labels (see ``request.Request.labels``).
-        precedence: Among classes that match one request, the highest precedence wins.
-        first_token_target_s: Target to the first byte of the answer's body, if any, in seconds.
-        whole_target_s: Target for the whole answer, if any, in seconds.
+        precedence: If several classes match a request, the highest precedence wins.
+        first_token_target_s: Target for the time to the first byte of the answer's body, in
+            seconds; None for no target.
+        whole_target_s: Target for the time to the complete answer, in seconds; None for no target.
         deadline_s: Time after which the answer is of no use, in seconds.
-        floor_share: Share of freed capacity the tier is sure of while it has work queued.
-        repeatable: False if no request of the class may run twice.
+        floor_share: Guaranteed share of freed capacity for the tier while it has requests queued.
+        repeatable: False if a request of the class may run at most once.
         preemptible: True if a stream of the class may be paused for a higher tier and resumed.
     """
 
@@ -80,20 +81,20 @@
 
 
 DEFAULT_CLASS = RequestClass(name="default", tier=LOWEST_TIER, precedence=-1_000_000)
-"""The class of requests that no declared class matches."""
+"""Class of the requests that no declared class matches."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """Declare a service and which upstreams answer it.
+    """A service and the selector of its upstreams.
 
     Attributes:
         name: Unique name; plain services are reached under ``/services/NAME/``.
         kind: Model engines or plain HTTP.
         selector: Text of the selector over the labels that upstreams announce.
-        models: Model names callers may ask for (model services only).
-        slots: Concurrent requests per upstream, where the upstream announces none.
-        shards: Into how many independently owned pools the upstreams are divided.
+        models: Model names that callers may request (model services only).
+        slots: Concurrent requests per upstream, for upstreams that announce no number.
+        shards: Number of independently owned pools that the upstreams are divided into.
     """
 
     name: str
@@ -106,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Send requests whose labels match a selector to a service; highest precedence wins.
+    """A rule that sends requests with matching labels to a service; highest precedence wins.
 
     Without a matching route a model request goes to the service that lists its model, and a
     plain request to the service named in its path.
@@ -120,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """Describe calls of a plain service: the labels they carry and whether they may repeat.
+    """Properties of calls to a plain service: their labels and whether they may be retried.
 
     Attributes:
         service: The service's name.
@@ -139,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LabelKey:
-    """Declare a label key that callers or upstreams may use, and its values (empty: any)."""
+    """A label key that callers or upstreams may use, and its allowed values (empty: any)."""
 
     key: str
     values: tuple[str, ...] = ()
@@ -147,14 +148,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """Hold one whole declared configuration; immutable once accepted.
+    """One complete declared configuration; immutable.
 
     Attributes:
-        engine_lease_s: How long a silent upstream still receives work, in seconds.
-        allow_undated_keys: Whether idempotency keys that carry no time are accepted. Nothing
-            shows the age of such a key: sent again after its retention, its request runs again.
+        engine_lease_s: Time for which an upstream that stops announcing itself still gets work, in
+            seconds.
+        allow_undated_keys: Whether idempotency keys that contain no timestamp are accepted. The age
+            of such a key is unknown: if it is resent after its retention, the request runs again.
         drained_upstreams: Ids of upstreams that get no new work.
-        drained_entries: Ids of entry hosts that are not named to callers any more.
+        drained_entries: Ids of entry hosts that are no longer listed to callers.
     """
 
     name: str = ""
@@ -181,7 +183,7 @@
 
     @functools.cached_property
     def class_by_name(self) -> dict[str, RequestClass]:
-        """Return the request classes and the default one, keyed by name."""
+        """Return the request classes, including the default class, keyed by name."""
         declared = {request_class.name: request_class for request_class in self.classes}
         return {DEFAULT_CLASS.name: DEFAULT_CLASS, **declared}
 
@@ -192,7 +194,7 @@
 
     @functools.cached_property
     def service_by_model(self) -> dict[str, Service]:
-        """Return the model services, keyed by each model name they list; the first one wins."""
+        """Return the model services, keyed by model name; the first that lists a model wins."""
         by_model: dict[str, Service] = {}
         for service in self.services:
             for model in service.models:
--- a/src/medlarfork/declared/configuration_check.py
+++ b/src/medlarfork/declared/configuration_check.py
@@ -1,4 +1,4 @@
-"""Check a declared configuration as a whole, whether it comes from a file or over the API."""
+"""Validate a complete declared configuration, from a file or from the API."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
         FindingKind.UNREACHABLE,
     }
 )
-"""Kinds that rest on what is not declared, so they mean nothing while objects are missing."""
+"""Kinds that depend on all declared objects; false positives if some could not be read."""
 
 
 def check(configuration: configurations.Configuration) -> tuple[Finding, ...]:
-    """Return everything that is wrong; an empty tuple if the configuration can be accepted."""
+    """Return all findings; an empty tuple if the configuration can be accepted."""
     items = _finding.items(configuration)
     found: list[Finding] = [*_object_check.check_deployment(configuration)]
     for item in items:
@@ -98,7 +98,7 @@
 
 
 def _floor_shares(configuration: configurations.Configuration) -> Iterator[Finding]:
-    """Check the tiers' shares; classes of one tier share its floor, the largest they name."""
+    """Check the sum of floor shares; the floor of a tier is the largest among its classes."""
     share_by_tier: dict[int, float] = collections.defaultdict(float)
     for declared in configuration.classes:
         share_by_tier[declared.tier] = max(share_by_tier[declared.tier], declared.floor_share)
@@ -116,7 +116,7 @@
 def _models(
     configuration: configurations.Configuration, items: Iterable[_finding.Item]
 ) -> Iterator[Finding]:
-    """Check that requests can reach every model service, also where two list one model."""
+    """Check that requests can reach every model service, also if several list the same model."""
     for item in items:
         service = item.value
         if not isinstance(service, configurations.Service):
--- a/src/medlarfork/declared/configuration_delta.py
+++ b/src/medlarfork/declared/configuration_delta.py
@@ -1,4 +1,4 @@
-"""Make and apply configuration deltas: only the objects that differ between two revisions."""
+"""Create and apply configuration deltas, which hold the objects that differ between revisions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Collection:
-    """Describe one field of the configuration that holds a tuple of named objects."""
+    """One field of the configuration that holds a tuple of named objects."""
 
     field: str
     kind: str
@@ -64,7 +64,8 @@
 ) -> heartbeat.ConfigurationDelta | None:
     """Return the delta from ``base`` to ``target``.
 
-    None if objects of one kind share a name: then only the whole configuration is exact.
+    None if several objects of one kind share a name. A delta identifies objects by name, so the
+    complete configuration must be sent instead.
     """
     changed = _changed_settings(base.configuration, target.configuration)
     removed: list[str] = []
@@ -85,15 +86,15 @@
 def apply(
     base: heartbeat.RevisionedConfiguration, delta: heartbeat.ConfigurationDelta
 ) -> heartbeat.RevisionedConfiguration:
-    """Return the configuration that the delta leads to from ``base``.
+    """Return the configuration that results from applying the delta to ``base``.
 
     Raises:
-        errors.ConfigurationError: The delta starts from another revision, or can't be decoded.
+        errors.ConfigurationError: The delta is for another base revision, or can't be decoded.
     """
     if base.revision != delta.base_revision:
         raise errors.ConfigurationError(
             f"A delta from revision {delta.base_revision} does not fit revision {base.revision}.",
-            remedy="Ask control for the whole configuration.",
+            remedy="Request the complete configuration from control.",
         )
     try:
         values = _settings_after(base.configuration, delta)
@@ -147,7 +148,7 @@
 
 
 def _default_order(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
-    """Return the order in which ``apply`` puts the objects unless the delta names another."""
+    """Return the order in which ``apply`` puts the objects unless the delta specifies one."""
     kept = [key for key in old if key in new]
     return kept + [key for key in new if key not in old]
 
--- a/src/medlarfork/declared/configuration_file.py
+++ b/src/medlarfork/declared/configuration_file.py
@@ -32,7 +32,7 @@
         "whole_target_s",
     }
 )
-"""Fields that no other object refers to, so a mistake in one hides nothing elsewhere."""
+"""Fields that no other object refers to: a mistake in one affects no finding elsewhere."""
 
 _CROSS_OBJECT_KINDS = frozenset(
     {
@@ -40,7 +40,7 @@
         configuration_check.FindingKind.SAME_PRECEDENCE,
     }
 )
-"""Kinds that compare the objects of one table with each other."""
+"""Kinds of findings that compare the objects of one table with each other."""
 
 _CROSS_FIELD_KINDS = frozenset(
     {
@@ -48,19 +48,19 @@
         configuration_check.FindingKind.TARGET,
     }
 )
-"""Kinds that compare the fields of one object with each other."""
+"""Kinds of findings that compare the fields of one object with each other."""
 
 _CROSS_CHECKED_FIELDS = frozenset(
     {"deadline_s", "first_token_target_s", "preemptible", "repeatable", "whole_target_s"}
 )
-"""The fields that such kinds compare."""
+"""Fields that ``_CROSS_FIELD_KINDS`` compare."""
 
 _BARE_KEY = re.compile(r"[A-Za-z0-9_-]+")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Deployment:
-    """Mirror the table ``[deployment]``."""
+    """Schema of the table ``[deployment]``."""
 
     revision: int | None = None
     name: str = ""
@@ -71,13 +71,13 @@
 
 
 def _table(key: str) -> Any:
-    """Return a field for an array of tables that the file names in the singular."""
+    """Return a field for an array of tables, whose key in the file is singular."""
     return dataclasses.field(default=(), metadata={"key": key})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _File:
-    """Mirror the whole file."""
+    """Schema of the complete file."""
 
     deployment: _Deployment = _Deployment()
     label_keys: tuple[configurations.LabelKey, ...] = _table("label")
@@ -90,10 +90,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationFile:
-    """Hold what a file declares.
+    """Content of a configuration file.
 
     Attributes:
-        revision: The revision that the file was made from; None if it does not say.
+        revision: The revision that the file is based on; None if the file doesn't state it.
     """
 
     configuration: configurations.Configuration
@@ -101,12 +101,12 @@
 
 
 def read(path: pathlib.Path) -> configurations.Configuration:
-    """Read a configuration file as ``load`` does, without its revision."""
+    """Return the configuration of a file, like ``load`` but without its revision."""
     return load(path).configuration
 
 
 def load(path: pathlib.Path) -> ConfigurationFile:
-    """Read a configuration file and check it as a whole.
+    """Read and validate a configuration file.
 
     Raises:
         errors.ConfigurationError: The file can't be read or has mistakes; the message lists all
@@ -129,7 +129,7 @@
 
 
 def render(configuration: configurations.Configuration, revision: int | None = None) -> str:
-    """Return the configuration as TOML text that ``load`` turns back into an equal one."""
+    """Return the configuration as TOML; ``load`` of that text returns an equal configuration."""
     blocks = [_block("[deployment]", _deployment(configuration, revision))]
     for field in dataclasses.fields(_File):
         if "key" in field.metadata:
@@ -164,7 +164,7 @@
 def _is_independent(
     finding: configuration_check.Finding, conversion: settings.Conversion[_File]
 ) -> bool:
-    """Return whether a finding can't be a mere consequence of a fault already listed."""
+    """Return whether a finding can't merely result from a conversion fault listed already."""
     faulty = {fault.path[:2] for fault in conversion.faults}
     complete = not conversion.dropped and all(
         fault.path[2:3] and fault.path[2] in _INDEPENDENT_FIELDS for fault in conversion.faults
@@ -196,7 +196,7 @@
 def _location_in_file(
     conversion: settings.Conversion[_File], finding: configuration_check.Finding
 ) -> tuple[str | int, ...]:
-    """Return a finding's place by its position in the file, where elements were left out."""
+    """Return a finding's location in the file, whose arrays may hold elements that were dropped."""
     location = finding.location
     if len(location) < 2 or not isinstance(location[1], int):
         return location
@@ -256,5 +256,5 @@
 
 
 def _text(text: str) -> str:
-    # JSON's escapes are TOML's too, but TOML wants DEL escaped.
+    # JSON's escapes are valid in TOML, but TOML also requires DEL to be escaped.
     return json.dumps(text, ensure_ascii=False).replace("\x7f", "\\u007f")
--- a/src/medlarfork/entry/_claim_settlements.py
+++ b/src/medlarfork/entry/_claim_settlements.py
@@ -1,4 +1,4 @@
-"""Tell control what became of an entry host's claims, until it has recorded it."""
+"""Settlements of an entry host's claims, resent until control has recorded them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from medlarfork.entry import _outbox
 
 _MAX_SETTLEMENTS = 10_000
-"""Most settlements that are not recorded, and most abandoned claims remembered."""
+"""Maximum number of unrecorded settlements, and of abandoned claims that are remembered."""
 
 _TIMEOUT_S = 2 * 3600.0
-"""How long a settlement is sent again, in seconds: longer than control loses its quorum for.
+"""How long a settlement is resent, in seconds; longer than an outage of control's quorum.
 
-A settlement that is given up leaves its claim running for as long as this host lives.
+If a settlement is dropped, its claim counts as running for as long as this host lives.
 """
 
 
 class ClaimSettlements:
-    """Resend settlements, and settle claims that are granted when nobody waits for them."""
+    """Resends settlements, and settles claims granted to requests that have already ended."""
 
     def __init__(self) -> None:
         """Start with nothing to settle."""
@@ -27,11 +27,11 @@
         self._abandoned: collections.OrderedDict[Any, None] = collections.OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of settlements that are not recorded."""
+        """Return the number of settlements that control has not recorded."""
         return len(self._outbox)
 
     def put(self, message: claim.ClaimFinish | claim.ClaimAbandon, now: float) -> None:
-        """Keep a settlement that is sent for the first time now."""
+        """Store a settlement that is sent for the first time now."""
         settled = (message.key, message.holder)
         self._outbox.put(settled, "", message, now)
         if not isinstance(message, claim.ClaimAbandon):
@@ -43,11 +43,11 @@
     def settle_stray(
         self, reply: claim.ClaimReply, now: float
     ) -> claim.ClaimFinish | claim.ClaimAbandon | None:
-        """Return what to send for a claim granted to a request that has ended, if anything.
+        """Return the settlement of a claim granted to a request that has ended, if one is needed.
 
-        A late copy of the claim request brought it about, after control had forgotten that the
-        claim was given back. Only what is known to have been given back was never dispatched; of
-        anything else no more may be said than that it may have run.
+        Such a grant answers a delayed duplicate of the claim request that reached control after it
+        had forgotten the abandoned claim. A claim that this host abandoned was never dispatched and
+        is abandoned again; any other request may have run, so its claim is finished.
         """
         settled = (reply.key, reply.holder)
         if reply.verdict is not claim.Verdict.GRANTED or settled in self._outbox:
@@ -60,11 +60,11 @@
         return message
 
     def confirm(self, recorded: claim.ClaimRecorded) -> None:
-        """Forget a settlement that control has recorded."""
+        """Remove a settlement that control has recorded."""
         self._outbox.confirm((recorded.key, recorded.holder))
 
     def collect_due(self, now: float) -> tuple[_outbox.PendingMessage, ...]:
-        """Return the settlements to send again now."""
+        """Return the settlements to resend now."""
         return self._outbox.collect_due(now)
 
     def earliest(self) -> float:
--- a/src/medlarfork/entry/_flow_claim.py
+++ b/src/medlarfork/entry/_flow_claim.py
@@ -1,4 +1,4 @@
-"""Handle the events of a request that waits for its claim."""
+"""Transitions of a request that waits for its claim."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from medlarfork.filters import answers, deduplicate
 
 
-def ask(
+def request_claim(
     flow: entry_flow.Flow, context: flow_context.FlowContext, holder: claim.Holder, now: float
 ) -> entry_flow.Step:
-    """Ask control for the claim, the first time or again."""
-    heard_at = flow.state.heard_at if isinstance(flow.state, entry_flow.Claiming) else now
+    """Send a claim request to control, for the first time or as a retry."""
+    last_reply_at = flow.state.last_reply_at if isinstance(flow.state, entry_flow.Claiming) else now
     contended = isinstance(flow.state, entry_flow.Claiming) and flow.state.contended
     ask_at = now + context.options.claim_resend_s
-    state = entry_flow.Claiming(heard_at, ask_at, contended)
+    state = entry_flow.Claiming(last_reply_at, ask_at, contended)
     claim_request = claim.ClaimRequest(
-        deduplicate.key_of(flow.asked), holder, flow.asked.body_sha256
+        deduplicate.key_of(flow.request), holder, flow.request.body_sha256
     )
     flow = dataclasses.replace(flow, state=state)
     return entry_flow.Step(flow, (entry_flow.SendClaimRequest(claim_request),))
@@ -33,7 +33,7 @@
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    """Apply one event while control has not decided."""
+    """Apply an event while control has not decided on the claim."""
     match event:
         case claim.ClaimReply():
             return _on_reply(flow, event, context, holder, now)
@@ -59,7 +59,7 @@
             return _flow_wait.queue(flow, context, holder, now)
         case deduplicate.InProgress():
             ask_at = now + context.options.claim_poll_s
-            state = entry_flow.Claiming(heard_at=now, ask_at=ask_at, contended=True)
+            state = entry_flow.Claiming(last_reply_at=now, ask_at=ask_at, contended=True)
             return entry_flow.Step(dataclasses.replace(flow, state=state))
         case deduplicate.Replay(stored):
             return _flow_end.replay(flow, stored, now)
@@ -74,16 +74,16 @@
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    if now >= flow.asked.deadline_at:
+    if now >= flow.request.deadline_at:
         if state.contended:
             return _refuse(flow, deduplicate.still_running(), holder, now)
         return _flow_end.fail(flow, answers.deadline_error(ran=False), holder, now)
-    # While a duplicate is waited for, control is asked only at each poll.
-    if now >= state.heard_at + _timeout_s(state, context):
+    # While another request holds the key, control only replies once per poll interval.
+    if now >= state.last_reply_at + _timeout_s(state, context):
         refuse = deduplicate.control_unavailable(contended=state.contended)
         return _refuse(flow, refuse, holder, now)
     if now >= state.ask_at:
-        return ask(flow, context, holder, now)
+        return request_claim(flow, context, holder, now)
     return entry_flow.Step(flow)
 
 
--- a/src/medlarfork/entry/_flow_run.py
+++ b/src/medlarfork/entry/_flow_run.py
@@ -1,4 +1,4 @@
-"""Handle the events of a request with an attempt at an upstream."""
+"""Transitions of a request with a running attempt."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    """Apply one event while the attempt runs."""
+    """Apply an event while the attempt runs."""
     match event:
         case entry_types.AttemptStarted(attempt_id) if attempt_id == state.ticket_id:
-            return entry_flow.Step(with_first_byte(flow, state, now))
+            return entry_flow.Step(record_first_byte(flow, state, now))
         case entry_types.AttemptEnded(attempt_id) if attempt_id == state.ticket_id:
             return on_ended(flow, state, event, context, holder, now)
         case entry_flow.PeerMessage(sender, message):
             return _on_peer(flow, state, sender, message, context, now)
         case entry_flow.OwnersChanged(restarted):
             return _on_owners(flow, state, restarted, context, now)
-        case entry_flow.TimerDue() if now >= flow.asked.deadline_at:
+        case entry_flow.TimerDue() if now >= flow.request.deadline_at:
             return _cancel(flow, state, entry_flow.StopCause.DEADLINE)
         case entry_types.CallerGone():
             return _cancel(flow, state, entry_flow.StopCause.CALLER_GONE)
@@ -45,13 +45,13 @@
             return entry_flow.Step(flow)
 
 
-def with_first_byte(
+def record_first_byte(
     flow: entry_flow.Flow, state: entry_flow.Running, now: float
 ) -> entry_flow.Flow:
     """Return the flow after the first byte of an attempt's answer.
 
-    Whether anything has reached the caller is said by the attempt's end: the connection may
-    hold the beginning of an answer back.
+    It does not set ``relayed``: the connection may buffer the start of an answer, so only the
+    ``AttemptEnded`` event states whether any byte has reached the caller.
     """
     state = dataclasses.replace(state, first_byte_at=now)
     first_byte_at = now if flow.first_byte_at is None else flow.first_byte_at
@@ -75,22 +75,24 @@
 ) -> entry_flow.Step:
     match message:
         case ticket.Grant():
-            return entry_flow.Step(flow, on_other_grant(flow, state, sender, message, context, now))
+            return entry_flow.Step(
+                flow, handle_extra_grant(flow, state, sender, message, context, now)
+            )
         case ticket.Preempt(ticket_id) if ticket_id == state.ticket_id and sender == state.owner:
-            if not (flow.resumable or (message.stalled and _may_move(flow, state))):
+            if not (flow.resumable or (message.stalled and _can_move(flow, state))):
                 return entry_flow.Step(flow)
             return _cancel(flow, state, entry_flow.StopCause.PREEMPTED)
         case _:
             return entry_flow.Step(flow)
 
 
-def _may_move(flow: entry_flow.Flow, state: entry_flow.Running) -> bool:
-    """Return whether the request can go on, or start again, at another upstream."""
-    fresh = state.first_byte_at is None and not flow.relayed
-    return flow.asked.repeatable and (fresh or bool(flow.asked.model))
+def _can_move(flow: entry_flow.Flow, state: entry_flow.Running) -> bool:
+    """Return whether the request can resume or restart at another upstream."""
+    unstarted = state.first_byte_at is None and not flow.relayed
+    return flow.request.repeatable and (unstarted or bool(flow.request.model))
 
 
-def on_other_grant(
+def handle_extra_grant(
     flow: entry_flow.Flow,
     state: entry_flow.Running,
     sender: str,
@@ -98,15 +100,15 @@
     context: flow_context.FlowContext,
     now: float,
 ) -> tuple[Any, ...]:
-    """Give back a grant beside the one in use; a copy of that one changes nothing."""
+    """Release a grant other than the one in use; a duplicate of the one in use is ignored."""
     same_ticket = sender == state.owner and grant.ticket_id == state.ticket_id
     if same_ticket and grant.upstream_id == state.upstream_id:
         return ()
-    unused = _flow_wait.release_unused_grant(sender, grant)
+    returned = _flow_wait.release_unused_grant(sender, grant)
     if not same_ticket:
-        return (unused,)
-    # The owner has lost its memory of the first grant.
-    return (unused, _announce_running(flow, state, state.owner, context, now))
+        return (returned,)
+    # The owner restarted and no longer knows its first grant.
+    return (returned, _report_running(flow, state, state.owner, context, now))
 
 
 def _on_owners(
@@ -120,11 +122,11 @@
     if not owners or (state.owner == owners[0] and state.owner not in restarted):
         return entry_flow.Step(flow)
     flow = dataclasses.replace(flow, state=dataclasses.replace(state, owner=owners[0]))
-    announced = _announce_running(flow, state, owners[0], context, now)
-    return entry_flow.Step(flow, (announced,))
+    report = _report_running(flow, state, owners[0], context, now)
+    return entry_flow.Step(flow, (report,))
 
 
-def _announce_running(
+def _report_running(
     flow: entry_flow.Flow,
     state: entry_flow.Running,
     owner: str,
@@ -132,8 +134,8 @@
     now: float,
 ) -> entry_flow.SendToOwner:
     entry_id = context.options.entry_id
-    asked = _flow_wait.make_ticket(flow, state.ticket_id, state.pool, entry_id, now)
-    running = ticket.Running(asked, state.upstream_id, now - state.started_at)
+    current = _flow_wait.make_ticket(flow, state.ticket_id, state.pool, entry_id, now)
+    running = ticket.Running(current, state.upstream_id, now - state.started_at)
     return entry_flow.SendToOwner(owner, running)
 
 
@@ -145,12 +147,12 @@
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    """Give the slot back and finish, retry or fail."""
+    """Release the slot, then complete, retry or fail the request."""
     released = release(flow, state, event, _CAUSE_BY_RESULT[event.result], now)
     started = state.first_byte_at is not None
     if event.relayed and not flow.relayed:
         flow = dataclasses.replace(flow, relayed=True)
-    ended = retry_rules.EndedAttempt(event, flow.relayed, flow.asked.repeatable, started)
+    ended = retry_rules.EndedAttempt(event, flow.relayed, flow.request.repeatable, started)
     match retry_rules.decide(ended):
         case retry_rules.Complete():
             if event.tokens > flow.tokens:
@@ -159,35 +161,35 @@
         case retry_rules.Fail(error):
             flow = dataclasses.replace(flow, uncertain=True, tokens=event.tokens)
             step = _flow_end.fail(flow, error, holder, now)
-        case retry_rules.Requeue() as again:
+        case retry_rules.Requeue() as requeue:
             avoid = tuple(dict.fromkeys((*flow.avoid, state.upstream_id)))
-            flow = dataclasses.replace(kept(flow, again), avoid=avoid)
-            step = _retry(flow, again, context, holder, now)
+            flow = dataclasses.replace(after_attempt(flow, requeue), avoid=avoid)
+            step = _retry(flow, requeue, context, holder, now)
     return entry_flow.Step(step.flow, (released, *step.effects))
 
 
 def _retry(
     flow: entry_flow.Flow,
-    again: retry_rules.Requeue,
+    requeue: retry_rules.Requeue,
     context: flow_context.FlowContext,
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    if now >= flow.asked.deadline_at:
+    if now >= flow.request.deadline_at:
         error = answers.deadline_error(ran=flow.uncertain)
         return _flow_end.fail(flow, error, holder, now)
     retries = flow.retries + 1
     exhausted = retries >= context.options.attempts_limit
-    if exhausted or not context.spend_retry(flow.asked.service):
-        return _flow_end.fail(flow, again.otherwise, holder, now)
+    if exhausted or not context.spend_retry(flow.request.service):
+        return _flow_end.fail(flow, requeue.otherwise, holder, now)
     return _flow_wait.queue(dataclasses.replace(flow, retries=retries), context, holder, now)
 
 
-def kept(flow: entry_flow.Flow, again: retry_rules.Requeue) -> entry_flow.Flow:
-    """Return the flow with what an ended attempt leaves behind."""
-    tokens = again.resume_offset if again.ran else max(flow.tokens, again.resume_offset)
-    flow = _flow_end.waste(flow, "retry", again.discarded)
-    return dataclasses.replace(flow, tokens=tokens, uncertain=flow.uncertain or again.ran)
+def after_attempt(flow: entry_flow.Flow, requeue: retry_rules.Requeue) -> entry_flow.Flow:
+    """Return the flow with the result of an attempt that ended and is followed by a retry."""
+    tokens = requeue.resume_offset if requeue.ran else max(flow.tokens, requeue.resume_offset)
+    flow = _flow_end.count_waste(flow, "retry", requeue.discarded)
+    return dataclasses.replace(flow, tokens=tokens, uncertain=flow.uncertain or requeue.ran)
 
 
 def release(
@@ -197,11 +199,11 @@
     cause: ticket.ReleaseCause,
     now: float,
 ) -> entry_flow.ReleaseSlot:
-    """Return the slot of an ended attempt."""
+    """Return the effect that releases the slot of an ended attempt."""
     first_token_s = None
     if state.first_byte_at is not None:
         first_token_s = state.first_byte_at - state.started_at
-    given_back = ticket.Release(
+    slot_release = ticket.Release(
         state.ticket_id,
         state.pool,
         cause,
@@ -210,4 +212,4 @@
         tokens=max(event.tokens - flow.tokens, 0),
         pause_s=event.pause_s,
     )
-    return entry_flow.ReleaseSlot(state.owner, given_back)
+    return entry_flow.ReleaseSlot(state.owner, slot_release)
--- a/src/medlarfork/entry/_flow_start.py
+++ b/src/medlarfork/entry/_flow_start.py
@@ -1,4 +1,4 @@
-"""Begin an attempt of a request that was granted a slot."""
+"""Start of an attempt for a request that was granted a slot."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 def start(
     flow: entry_flow.Flow, waiting: entry_flow.Waiting, grant: ticket.Grant, now: float
 ) -> entry_flow.Step:
-    """Dispatch to the upstream that the grant names."""
-    asked = flow.asked
+    """Dispatch the request to the upstream of the grant."""
+    incoming = flow.request
     state = entry_flow.Running(
         waiting.ticket_id, waiting.pool, waiting.owner, grant.upstream_id, started_at=now
     )
-    queued_s = now - asked.arrived_at if flow.queued_s is None else flow.queued_s
+    queued_s = now - incoming.arrived_at if flow.queued_s is None else flow.queued_s
     flow = dataclasses.replace(flow, state=state, dispatches=flow.dispatches + 1, queued_s=queued_s)
     action = entry_types.Dispatch(
-        asked.request_id,
+        incoming.request_id,
         waiting.ticket_id,
         grant.upstream_id,
         grant.address,
         resume_offset=flow.tokens,
-        timeout_s=asked.deadline_at - now,
-        assemble=flow.resumable and not asked.stream,
-        key=asked.key,
-        tier=asked.tier,
+        timeout_s=incoming.deadline_at - now,
+        assemble=flow.resumable and not incoming.stream,
+        key=incoming.key,
+        tier=incoming.tier,
     )
     return entry_flow.Step(flow, (action,))
--- a/src/medlarfork/entry/_flow_stop.py
+++ b/src/medlarfork/entry/_flow_stop.py
@@ -1,4 +1,4 @@
-"""Handle the events of a request whose attempt was cancelled and has not ended yet."""
+"""Transitions of a request whose attempt was cancelled and has not ended yet."""
 
 from __future__ import annotations
 
@@ -32,20 +32,21 @@
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    """Apply one event while the attempt's end is awaited."""
+    """Apply an event while the end of the cancelled attempt is awaited."""
     running = state.running
     match event:
         case entry_types.AttemptStarted(attempt_id) if attempt_id == running.ticket_id:
-            flow = _flow_run.with_first_byte(flow, running, now)
+            flow = _flow_run.record_first_byte(flow, running, now)
             stopping = entry_flow.Stopping(flow.state, state.cause)
             return entry_flow.Step(dataclasses.replace(flow, state=stopping))
         case entry_types.AttemptEnded(attempt_id) if attempt_id == running.ticket_id:
             return _on_stopped(flow, state, event, context, holder, now)
         case entry_flow.PeerMessage(sender, ticket.Grant() as grant):
             return entry_flow.Step(
-                flow, _flow_run.on_other_grant(flow, running, sender, grant, context, now)
+                flow, _flow_run.handle_extra_grant(flow, running, sender, grant, context, now)
             )
-        # The caller's leaving, the deadline and the stop overrule a preemption.
+        # A caller that has gone replaces any cause; a stop of the host replaces a preemption, and
+        # so does the deadline, in ``_after_stop``.
         case entry_types.CallerGone():
             return _with_cause(flow, state, entry_flow.StopCause.CALLER_GONE)
         case entry_flow.Stop() if state.cause is entry_flow.StopCause.PREEMPTED:
@@ -71,17 +72,17 @@
 ) -> entry_flow.Step:
     running = state.running
     if event.result is entry_types.AttemptResult.COMPLETE:
-        # The answer's end and the cancellation crossed.
+        # The answer completed before the cancellation took effect.
         return _flow_run.on_ended(flow, running, event, context, holder, now)
     released = _flow_run.release(flow, running, event, _CAUSE_BY_STOP[state.cause], now)
     flow = dataclasses.replace(flow, relayed=flow.relayed or event.relayed)
     started = running.first_byte_at is not None
     decision = retry_rules.decide(
-        retry_rules.EndedAttempt(event, flow.relayed, flow.asked.repeatable, started)
+        retry_rules.EndedAttempt(event, flow.relayed, flow.request.repeatable, started)
     )
     match decision:
-        case retry_rules.Requeue() as again:
-            flow = _flow_run.kept(flow, again)
+        case retry_rules.Requeue() as requeue:
+            flow = _flow_run.after_attempt(flow, requeue)
         case _:
             flow = dataclasses.replace(flow, uncertain=True, tokens=event.tokens)
     step = _after_stop(flow, state.cause, decision, context, holder, now)
@@ -105,7 +106,7 @@
         case entry_flow.StopCause.DRAINED:
             return _flow_end.fail(flow, answers.drained_error(), holder, now)
         case entry_flow.StopCause.PREEMPTED if isinstance(decision, retry_rules.Requeue):
-            if now < flow.asked.deadline_at:
+            if now < flow.request.deadline_at:
                 return _flow_wait.queue(flow, context, holder, now)
             return _flow_end.fail(flow, answers.deadline_error(ran=True), holder, now)
         case entry_flow.StopCause.PREEMPTED:
--- a/src/medlarfork/entry/_flow_wait.py
+++ b/src/medlarfork/entry/_flow_wait.py
@@ -1,4 +1,4 @@
-"""Handle the events of a request that waits for a slot."""
+"""Transitions of a request that waits for a slot."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from medlarfork.entry import _flow_end, _flow_start, entry_flow, entry_types, flow_context
 from medlarfork.filters import answers, deduplicate
 
-_HANDOVER_PAUSE_S = 0.1
-"""Pause before another owner is asked after one said that it does not own the pool."""
+_HANDOVER_BACKOFF_S = 0.1
+"""Backoff before the ticket goes to another owner after one replied that it is not the owner."""
 
 
 def queue(
     flow: entry_flow.Flow, context: flow_context.FlowContext, holder: claim.Holder, now: float
 ) -> entry_flow.Step:
-    """Queue for the next attempt."""
-    pool = context.choose_pool(flow.asked.service, now)
+    """Queue the request for its next attempt."""
+    pool = context.choose_pool(flow.request.service, now)
     if not pool:
         return _flow_end.fail(flow, answers.no_capacity_error(), holder, now)
-    return _ask(flow, pool, context.owners(pool)[0], context, now)
+    return _send_ticket(flow, pool, context.owners(pool)[0], context, now)
 
 
 def handle(
@@ -32,7 +32,7 @@
     holder: claim.Holder,
     now: float,
 ) -> entry_flow.Step:
-    """Apply one event while no slot has been granted."""
+    """Apply an event while no slot has been granted."""
     match event:
         case entry_flow.PeerMessage(sender, message):
             return _on_peer(flow, state, sender, message, context, holder, now)
@@ -41,15 +41,17 @@
         case entry_flow.OwnersChanged(restarted):
             return _on_owners(flow, state, restarted, context, holder, now)
         case entry_types.CallerGone():
-            return _leave(state, _flow_end.caller_gone(flow, holder, now))
+            return _withdraw_and_end(state, _flow_end.caller_gone(flow, holder, now))
         case entry_flow.Stop():
-            return _leave(state, _flow_end.fail(flow, answers.drained_error(), holder, now))
+            return _withdraw_and_end(
+                state, _flow_end.fail(flow, answers.drained_error(), holder, now)
+            )
         case _:
             return entry_flow.Step(flow)
 
 
 def release_unused_grant(sender: str, grant: ticket.Grant) -> entry_flow.ReleaseSlot:
-    """Return the release of a grant that is not used."""
+    """Return the effect that releases a grant that is not used."""
     release = ticket.Release(grant.ticket_id, grant.pool, ticket.ReleaseCause.UNUSED)
     return entry_flow.ReleaseSlot(sender, release)
 
@@ -57,25 +59,25 @@
 def make_ticket(
     flow: entry_flow.Flow, ticket_id: str, pool: str, entry_id: str, now: float
 ) -> ticket.Ticket:
-    """Return the ticket as of now."""
-    asked = flow.asked
+    """Return the request's ticket with times relative to ``now``."""
+    incoming = flow.request
     return ticket.Ticket(
         ticket_id,
         entry_id,
         pool,
-        asked.account,
-        asked.class_name,
-        asked.tier,
-        waited_s=now - asked.arrived_at,
-        time_left_s=asked.deadline_at - now,
+        incoming.account,
+        incoming.class_name,
+        incoming.tier,
+        waited_s=now - incoming.arrived_at,
+        time_left_s=incoming.deadline_at - now,
         target_left_s=_target_left_s(flow, now),
-        repeatable=asked.repeatable,
+        repeatable=incoming.repeatable,
         preemptible=flow.resumable,
-        prefix=asked.prefix,
-        max_tokens=asked.max_tokens,
+        prefix=incoming.prefix,
+        max_tokens=incoming.max_tokens,
         resume_offset=flow.tokens,
         avoid=flow.avoid,
-        repeat_key=asked.repeat_key,
+        repeat_key=incoming.repeat_key,
     )
 
 
@@ -84,20 +86,23 @@
     if flow.first_byte_at is None:
         targets.append(flow.request_class.first_token_target_s)
     known = [target for target in targets if target is not None]
-    return flow.asked.arrived_at + min(known) - now if known else None
+    return flow.request.arrived_at + min(known) - now if known else None
 
 
-def _ask(
+def _send_ticket(
     flow: entry_flow.Flow, pool: str, owner: str, context: flow_context.FlowContext, now: float
 ) -> entry_flow.Step:
-    """Ask an owner with a new ticket; owners ignore what they were told to forget."""
+    """Send a new ticket to an owner.
+
+    The ticket needs a new id: an owner ignores a ticket that was withdrawn before.
+    """
     attempt = flow.attempt + 1
-    ticket_id = entry_flow.ticket_id(flow.asked.request_id, attempt)
+    ticket_id = entry_flow.ticket_id(flow.request.request_id, attempt)
     resend_at = now + context.options.ticket_resend_s
-    state = entry_flow.Waiting(ticket_id, pool, owner, asked_at=now, resend_at=resend_at)
+    state = entry_flow.Waiting(ticket_id, pool, owner, unanswered_since=now, resend_at=resend_at)
     flow = dataclasses.replace(flow, state=state, attempt=attempt)
-    asked = make_ticket(flow, ticket_id, pool, context.options.entry_id, now)
-    return entry_flow.Step(flow, (entry_flow.SendToOwner(owner, asked),))
+    new_ticket = make_ticket(flow, ticket_id, pool, context.options.entry_id, now)
+    return entry_flow.Step(flow, (entry_flow.SendToOwner(owner, new_ticket),))
 
 
 def _on_peer(
@@ -111,21 +116,21 @@
 ) -> entry_flow.Step:
     current = sender == state.owner and message.ticket_id == state.ticket_id
     match message:
-        # An owner passed over got a withdrawal, so its slot is no longer ours.
+        # The ticket was withdrawn from a skipped owner, so its grant must not be used.
         case ticket.Grant() if not current:
             return entry_flow.Step(flow, (release_unused_grant(sender, message),))
         case ticket.Grant():
             return _on_grant(flow, state, message, context, holder, now)
         case ticket.Queued() if current:
-            # A ticket that waits in this very process can't get lost.
+            # A ticket queued in this process can't get lost, so it is not resent.
             local = sender == context.options.entry_id
             resend_at = math.inf if local else now + context.options.ticket_refresh_s
-            state = dataclasses.replace(state, asked_at=None, resend_at=resend_at)
+            state = dataclasses.replace(state, unanswered_since=None, resend_at=resend_at)
             return entry_flow.Step(dataclasses.replace(flow, state=state))
         case ticket.Shed(reason=ticket.ShedReason.NOT_OWNER) if current:
-            # The views differ for a moment; asking again at once would only go round in circles.
-            resend_at = now + _HANDOVER_PAUSE_S
-            state = dataclasses.replace(state, asked_at=-math.inf, resend_at=resend_at)
+            # The hosts' views differ briefly; resending at once would cycle between the owners.
+            resend_at = now + _HANDOVER_BACKOFF_S
+            state = dataclasses.replace(state, unanswered_since=-math.inf, resend_at=resend_at)
             return entry_flow.Step(dataclasses.replace(flow, state=state))
         case ticket.Shed() if current:
             return _flow_end.fail(flow, answers.shed_error(message), holder, now)
@@ -142,13 +147,13 @@
     now: float,
 ) -> entry_flow.Step:
     unused = release_unused_grant(state.owner, grant)
-    if now >= flow.asked.deadline_at:
+    if now >= flow.request.deadline_at:
         error = answers.deadline_error(ran=flow.uncertain)
-        return _before(unused, _flow_end.fail(flow, error, holder, now))
-    # Control may have told a duplicate by now that this host was lost and runs nothing any more.
+        return _prepend(unused, _flow_end.fail(flow, error, holder, now))
+    # Control may have treated this host as lost, and answered a duplicate of the request so.
     if flow.claimed and not context.holds_lease(now):
         step = _flow_end.fail(flow, deduplicate.no_quorum_error(), holder, now)
-        return _before(unused, step)
+        return _prepend(unused, step)
     return _flow_start.start(flow, state, grant, now)
 
 
@@ -160,21 +165,26 @@
     now: float,
 ) -> entry_flow.Step:
     options = context.options
-    if now >= flow.asked.deadline_at:
+    if now >= flow.request.deadline_at:
         error = answers.deadline_error(ran=flow.uncertain)
-        return _leave(state, _flow_end.fail(flow, error, holder, now))
+        return _withdraw_and_end(state, _flow_end.fail(flow, error, holder, now))
     if now < state.resend_at:
         return entry_flow.Step(flow)
-    if state.asked_at is not None and now >= state.asked_at + options.owner_timeout_s:
-        return _ask_next(flow, state, context, now)
-    asked_at = now if state.asked_at is None else state.asked_at
-    state = dataclasses.replace(state, asked_at=asked_at, resend_at=now + options.ticket_resend_s)
+    if (
+        state.unanswered_since is not None
+        and now >= state.unanswered_since + options.owner_timeout_s
+    ):
+        return _try_next_owner(flow, state, context, now)
+    unanswered_since = now if state.unanswered_since is None else state.unanswered_since
+    state = dataclasses.replace(
+        state, unanswered_since=unanswered_since, resend_at=now + options.ticket_resend_s
+    )
     flow = dataclasses.replace(flow, state=state)
-    again = make_ticket(flow, state.ticket_id, state.pool, options.entry_id, now)
-    return entry_flow.Step(flow, (entry_flow.SendToOwner(state.owner, again),))
+    resent = make_ticket(flow, state.ticket_id, state.pool, options.entry_id, now)
+    return entry_flow.Step(flow, (entry_flow.SendToOwner(state.owner, resent),))
 
 
-def _ask_next(
+def _try_next_owner(
     flow: entry_flow.Flow,
     state: entry_flow.Waiting,
     context: flow_context.FlowContext,
@@ -183,7 +193,7 @@
     owners = context.owners(state.pool) or (state.owner,)
     position = owners.index(state.owner) + 1 if state.owner in owners else 0
     owner = owners[position % len(owners)]
-    return _before(_withdraw(state), _ask(flow, state.pool, owner, context, now))
+    return _prepend(_withdraw(state), _send_ticket(flow, state.pool, owner, context, now))
 
 
 def _on_owners(
@@ -196,21 +206,21 @@
 ) -> entry_flow.Step:
     owners = context.owners(state.pool)
     if not owners:
-        # The pool is gone with its service or with a change of its shards.
-        return _before(_withdraw(state), queue(flow, context, holder, now))
+        # The service was removed, or its number of shards changed.
+        return _prepend(_withdraw(state), queue(flow, context, holder, now))
     if state.owner == owners[0] and state.owner not in restarted:
         return entry_flow.Step(flow)
-    asked = _ask(flow, state.pool, owners[0], context, now)
-    return _before(_withdraw(state), asked) if state.owner != owners[0] else asked
+    step = _send_ticket(flow, state.pool, owners[0], context, now)
+    return _prepend(_withdraw(state), step) if state.owner != owners[0] else step
 
 
 def _withdraw(state: entry_flow.Waiting) -> entry_flow.SendToOwner:
     return entry_flow.SendToOwner(state.owner, ticket.Withdraw(state.ticket_id, state.pool))
 
 
-def _leave(state: entry_flow.Waiting, step: entry_flow.Step) -> entry_flow.Step:
-    return _before(_withdraw(state), step)
+def _withdraw_and_end(state: entry_flow.Waiting, step: entry_flow.Step) -> entry_flow.Step:
+    return _prepend(_withdraw(state), step)
 
 
-def _before(effect: Any, step: entry_flow.Step) -> entry_flow.Step:
+def _prepend(effect: Any, step: entry_flow.Step) -> entry_flow.Step:
     return entry_flow.Step(step.flow, (effect, *step.effects))
--- a/src/medlarfork/entry/_outbox.py
+++ b/src/medlarfork/entry/_outbox.py
@@ -1,4 +1,4 @@
-"""Resend messages until their receipt is confirmed."""
+"""Outbox that resends messages until their receipt is confirmed."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from medlarfork.entry import _timer_heap
 
 _INITIAL_DELAY_S = 0.5
-"""Pause before a message is sent again; it doubles each time, in seconds."""
+"""Delay before a message is first resent, in seconds; it doubles with each resend."""
 
 _MAX_DELAY_S = 4.0
-"""Longest such pause, in seconds."""
+"""Maximum delay between resends, in seconds."""
 
 _MAX_DUE_PER_CALL = 256
-"""Most messages resent in one call, so that the work of one event is bounded."""
+"""Maximum number of messages resent in one call; it bounds the work of one event."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingMessage:
-    """Hold one unconfirmed message.
+    """An unconfirmed message.
 
     Attributes:
-        to: The receiver; empty for whoever leads control at the time of sending.
-        tries: How often it has been sent.
+        to: The receiver; empty for the control leader at the time of sending.
+        tries: Number of times it has been sent.
         give_up_at: When to stop resending it, in monotonic seconds.
     """
 
@@ -36,7 +36,7 @@
 
 
 class Outbox:
-    """Keep a bounded number of unconfirmed messages; the oldest is dropped beyond that."""
+    """Holds a bounded number of unconfirmed messages; beyond the limit the oldest is dropped."""
 
     def __init__(self, *, limit: int, timeout_s: float) -> None:
         """Start empty; each message is resent for at most ``timeout_s`` seconds."""
@@ -57,7 +57,7 @@
         return key in self._pending_by_key
 
     def put(self, key: Hashable, to: str, message: Any, now: float) -> None:
-        """Keep a message that has just been sent for the first time."""
+        """Store a message that has just been sent for the first time."""
         self._pending_by_key.pop(key, None)
         self._pending_by_key[key] = PendingMessage(to, message, 1, now + self._timeout_s)
         self._timers.set(key, now + _INITIAL_DELAY_S)
@@ -65,12 +65,12 @@
             self._drop(next(iter(self._pending_by_key)))
 
     def confirm(self, key: Hashable) -> None:
-        """Forget a message that was confirmed."""
+        """Remove a message that was confirmed."""
         self._pending_by_key.pop(key, None)
         self._timers.clear(key)
 
     def collect_due(self, now: float) -> tuple[PendingMessage, ...]:
-        """Return the messages to send again now; call again while ``earliest`` has passed."""
+        """Return the messages to resend now; call it again while ``earliest`` has passed."""
         due: list[PendingMessage] = []
         while len(due) < _MAX_DUE_PER_CALL and (key := self._timers.pop_due(now)) is not None:
             pending = self._pending_by_key[key]
@@ -79,8 +79,8 @@
                 continue
             due.append(pending)
             self._pending_by_key[key] = dataclasses.replace(pending, tries=pending.tries + 1)
-            pause_s = min(_INITIAL_DELAY_S * 2**pending.tries, _MAX_DELAY_S)
-            self._timers.set(key, now + pause_s)
+            delay_s = min(_INITIAL_DELAY_S * 2**pending.tries, _MAX_DELAY_S)
+            self._timers.set(key, now + delay_s)
         return tuple(due)
 
     def earliest(self) -> float:
--- a/src/medlarfork/entry/_peer_links.py
+++ b/src/medlarfork/entry/_peer_links.py
@@ -1,4 +1,4 @@
-"""Open links to other entry hosts when they are needed, and close those that are not any more."""
+"""Links to other entry hosts, opened on demand and closed when idle."""
 
 from __future__ import annotations
 
@@ -6,14 +6,17 @@
 from typing import Any, Protocol
 
 IDLE_TIMEOUT_S = 300.0
-"""How long a link may be unused before it is closed, in seconds."""
+"""Idle time after which a link is closed, in seconds."""
 
 MAX_LINKS = 128
-"""Most links that are opened from here; each takes two descriptors. The longest unused go first."""
+"""Maximum number of links opened from here; the least recently used is closed first.
+
+Each link takes two file descriptors.
+"""
 
 
 class Link(Protocol):
-    """Send messages to peers; ``link.Link`` is the real one."""
+    """Interface for messages to peers, implemented by ``link.Link``."""
 
     def connect(self, peer_id: str, address: str) -> bool:
         """Connect to a peer."""
@@ -33,14 +36,14 @@
 
 
 class PeerLinks:
-    """Send to entry hosts over few connections.
+    """Sends messages to entry hosts over a small number of connections.
 
-    A peer that has connected to this host is answered over its connection, so that two hosts
-    need only one between them.
+    If a peer has connected to this host, messages to it use that connection, so two hosts need only
+    one between them.
     """
 
     def __init__(self, link: Link) -> None:
-        """Start without connections to entry hosts; others on the link are left alone."""
+        """Start without connections to entry hosts; other links are not touched."""
         self._link = link
         self._used_at_by_id: collections.OrderedDict[str, float] = collections.OrderedDict()
 
@@ -49,9 +52,9 @@
         return len(self._used_at_by_id)
 
     def send(self, to: str, address: str, message: Any, now: float) -> bool:
-        """Send a message to an entry host; it is lost if no connection stands yet."""
-        answers = to not in self._used_at_by_id and self._link.has_route(to)
-        if answers and self._link.send(to, message):
+        """Send a message to an entry host; it is lost if no connection is established yet."""
+        uses_peer_route = to not in self._used_at_by_id and self._link.has_route(to)
+        if uses_peer_route and self._link.send(to, message):
             return True
         self._link.connect(to, address)
         self._used_at_by_id[to] = now
@@ -60,7 +63,7 @@
         return self._link.send(to, message)
 
     def close_idle(self, now: float) -> None:
-        """Close the connections that are unused, and those above the limit."""
+        """Close the connections that are idle, and the least recently used above the limit."""
         while self._used_at_by_id:
             peer_id, used_at = next(iter(self._used_at_by_id.items()))
             if len(self._used_at_by_id) <= MAX_LINKS and now < used_at + IDLE_TIMEOUT_S:
--- a/src/medlarfork/entry/_timer_heap.py
+++ b/src/medlarfork/entry/_timer_heap.py
@@ -1,4 +1,4 @@
-"""Keep one wake-up time for each key, and yield the keys that are due."""
+"""Timer heap with one timer per key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TimerHeap(Generic[Key]):
-    """Set, move and clear timers in logarithmic time; memory stays linear in the live ones."""
+    """Sets, moves and clears timers in logarithmic time; memory is linear in the live timers."""
 
     def __init__(self) -> None:
         """Start without timers."""
@@ -44,7 +44,7 @@
         self._due_by_key.pop(key, None)
 
     def pop_due(self, now: float) -> Key | None:
-        """Take one key whose time has come; None if there is none."""
+        """Remove and return a key whose timer is due; None if there is none."""
         if self.earliest() > now:
             return None
         _, _, key = heapq.heappop(self._heap)
--- a/src/medlarfork/entry/caller_session.py
+++ b/src/medlarfork/entry/caller_session.py
@@ -1,4 +1,4 @@
-"""Hold one caller's connection while its request is decided, and write what it is to get."""
+"""Session of a caller's request: its connection, and the answer written to it."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
         "upgrade",
     }
 )
-"""Upstream headers that concern its own connection, or that the entry host sets."""
+"""Upstream headers that concern its connection, or that the entry host sets itself."""
 
 
 class CallerSession:
-    """Own one exchange with a caller; the node's actions for it arrive through ``enqueue_action``.
+    """Owns an HTTP exchange with a caller; the node's actions arrive by ``enqueue_action``.
 
     Attributes:
-        raw: The request as it was read.
-        exchange: The caller's side.
-        attempt: The task of the attempt that runs, if any.
-        watcher: The task that notices the caller's leaving, once one was worth starting.
+        raw: The request as received.
+        exchange: The HTTP exchange with the caller.
+        attempt: The task of the running attempt, if any.
+        watcher: The task that detects a closed connection; only long requests have one.
         opened_at: Monotonic time of the request, in seconds.
     """
 
     def __init__(
         self, raw: entry_types.RawRequest, exchange: http_server.Exchange, opened_at: float
     ) -> None:
-        """Begin with nothing written."""
+        """Start with nothing written."""
         self.raw = raw
         self.exchange = exchange
         self.opened_at = opened_at
@@ -52,39 +52,39 @@
         self._relay: relay.Relay | None = None
         self._status = 0
         self._headers: dict[str, str] = {}
-        self._held: list[bytes] = []
+        self._buffer: list[bytes] = []
         self._attempt_id = ""
         self._cancelled_id = ""
-        self._told: collections.deque[Any] = collections.deque()
-        self._something_told = curio.Event()
+        self._actions: collections.deque[Any] = collections.deque()
+        self._action_available = curio.Event()
 
     async def enqueue_action(self, action: Any) -> None:
-        """Leave an action of the node for the task that serves the caller."""
-        self._told.append(action)
-        await self._something_told.set()
+        """Queue an action of the node for the task that serves the caller."""
+        self._actions.append(action)
+        await self._action_available.set()
 
     async def next_action(self) -> Any:
-        """Wait for an action of the node."""
-        while not self._told:
-            self._something_told.clear()
-            await self._something_told.wait()
-        return self._told.popleft()
-
-    def take_dispatch(self) -> entry_types.Dispatch | None:
-        """Return the next attempt that is asked for already, if any; drop what else was told."""
-        while self._told:
-            action = self._told.popleft()
+        """Wait for the next action of the node."""
+        while not self._actions:
+            self._action_available.clear()
+            await self._action_available.wait()
+        return self._actions.popleft()
+
+    def pop_dispatch(self) -> entry_types.Dispatch | None:
+        """Return the next queued ``Dispatch``, if any, and drop other actions before it."""
+        while self._actions:
+            action = self._actions.popleft()
             if isinstance(action, entry_types.Dispatch):
                 return action
         return None
 
-    def run_attempt(self, attempt_id: str, task: curio.Task) -> None:
-        """Note the task that runs an attempt from now on."""
+    def set_attempt(self, attempt_id: str, task: curio.Task) -> None:
+        """Set the running attempt and its task."""
         self._attempt_id = attempt_id
         self.attempt = task
 
     async def cancel_attempt(self, attempt_id: str) -> None:
-        """Cancel an attempt, also one whose ``Dispatch`` has not been taken yet."""
+        """Cancel an attempt, even if its ``Dispatch`` has not been processed yet."""
         self._cancelled_id = attempt_id
         if self.attempt is not None and self._attempt_id == attempt_id:
             await self.attempt.cancel(blocking=False)
@@ -105,21 +105,21 @@
 
     @property
     def relayed(self) -> bool:
-        """Return whether any byte of an answer has gone to the caller."""
+        """Return whether any byte of an answer has been sent to the caller."""
         return self.exchange.started
 
     @property
-    def held_bytes(self) -> int:
-        """Return the size of a whole answer that waits for its end, in bytes."""
-        return sum(len(part) for part in self._held)
+    def buffered_bytes(self) -> int:
+        """Return the size of the buffered part of the answer, in bytes."""
+        return sum(len(part) for part in self._buffer)
 
     def start_response(
         self, dispatch: entry_types.Dispatch, status: int, headers: Mapping[str, str]
     ) -> None:
-        """Take bytes of this attempt from now on.
+        """Accept bytes of this attempt from now on; those of other attempts are dropped.
 
         Raises:
-            errors.UpstreamError: The upstream's answer can't be joined to what there is already.
+            errors.UpstreamError: The upstream's answer can't be appended to the earlier part.
         """
         if self._relay is None:
             stream = outgoing.asks_for_stream(self.raw)
@@ -135,39 +135,40 @@
             return
         self._status = status
         self._headers = _returned_headers(headers, dispatch)
-        self._held.clear()
+        self._buffer.clear()
 
-    def hold(self, attempt_id: str, data: bytes) -> None:
-        """Keep bytes of an answer that is to go out in one piece."""
-        passed = self._feed(attempt_id, data)
-        if passed:
-            self._held.append(passed)
+    def buffer(self, attempt_id: str, data: bytes) -> None:
+        """Buffer bytes of an answer that is to be sent in one piece."""
+        relayable = self._feed(attempt_id, data)
+        if relayable:
+            self._buffer.append(relayable)
 
     async def forward(self, attempt_id: str, data: bytes) -> bool:
-        """Write bytes to the caller at once, after those held; return whether any were written.
+        """Send the buffer and these bytes to the caller; return whether any bytes were sent.
 
         Raises:
             errors.CallerGoneError: The caller can't be reached any more.
-            errors.UpstreamError: The bytes don't go on where they should.
+            errors.UpstreamError: The bytes don't continue the answer at the right offset.
         """
-        passed = self._feed(attempt_id, data)
-        if self._held:
-            passed = b"".join(self._held) + passed
-            self._held.clear()
-        if not passed:
+        relayable = self._feed(attempt_id, data)
+        if self._buffer:
+            relayable = b"".join(self._buffer) + relayable
+            self._buffer.clear()
+        if not relayable:
             return False
         if not self.exchange.started:
-            self._held.append(passed)  # It is counted already, so a cancellation must not lose it.
+            # The relay has counted these bytes, so a cancellation of ``begin`` must not lose them.
+            self._buffer.append(relayable)
             await self.exchange.begin(self._status, self._answer_headers())
-            self._held.clear()
-        await self.exchange.send(passed)
+            self._buffer.clear()
+        await self.exchange.send(relayable)
         return True
 
-    def check_end(self) -> None:
-        """Check that the answer reached its own end, not only that of its connection.
+    def check_complete(self) -> None:
+        """Check that the answer is complete, and that it was not only its connection that ended.
 
         Raises:
-            errors.UpstreamError: It did not.
+            errors.UpstreamError: The answer is not complete.
         """
         if self._relay is None or not self._relay.complete:
             raise errors.UpstreamError(
@@ -176,16 +177,16 @@
             )
 
     async def finish(self, *, complete: bool) -> None:
-        """End the relayed answer; cut it if it is not whole."""
+        """End the relayed answer; abort the connection if the answer is not complete."""
         if not complete:
             await self.exchange.abort()
         elif self.exchange.started:
             await self.exchange.finish()
         else:
-            await self.exchange.respond(self._status, self._answer_headers(), self.whole())
+            await self.exchange.respond(self._status, self._answer_headers(), self.full_body())
 
     async def answer(self, action: entry_types.Answer) -> None:
-        """Write an answer of the entry host's own."""
+        """Send an answer of the entry host itself."""
         headers = {
             "Content-Type": action.content_type,
             header_names.REQUEST_ID: action.request_id,
@@ -194,11 +195,11 @@
         }
         await self.exchange.respond(action.status, headers, action.body)
 
-    def whole(self) -> bytes:
-        """Return the answer that is to go out in one piece."""
+    def full_body(self) -> bytes:
+        """Return the body of an answer that is sent in one piece."""
         if self._relay is not None and self._relay.assembles:
             return self._relay.assembled_body()
-        return b"".join(self._held)
+        return b"".join(self._buffer)
 
     @property
     def content_type(self) -> str:
@@ -212,7 +213,7 @@
         headers = dict(self._headers)
         if self._relay is not None and self._relay.assembles:
             headers["content-type"] = "application/json"
-        # A stream's outcome is not known when its head is written: its proper end says it.
+        # A stream's outcome is not known when its head is sent; the stream's regular end shows it.
         if not self.exchange.started and not self._streams():
             headers[header_names.OUTCOME] = request.Outcome.COMPLETED.value
         return headers
--- a/src/medlarfork/entry/drain.py
+++ b/src/medlarfork/entry/drain.py
@@ -1,7 +1,8 @@
-"""Decide the order of a graceful stop of an entry host.
+"""Stages of a graceful stop of an entry host.
 
-It stops being named to callers first; then it accepts until the last answer that named it has
-run out; then it finishes what is in progress; then nothing holds it any more.
+The host is first left out of ``/v1/entries``. It accepts requests until the last answer that
+listed it has expired, then finishes the requests in progress, and then waits for outstanding
+confirmations. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -13,35 +14,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Serving:
-    """Take requests and be named to callers."""
+    """Stage: requests are accepted, and the host is listed for callers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepting:
-    """Still take requests, but be named to nobody.
+    """Stage: requests are still accepted, but the host is no longer listed.
 
     Attributes:
-        refuse_at: When the last answer that named this host has run out.
-        cut_at: When to end what is still in progress.
+        refuse_at: When the last ``/v1/entries`` answer that listed this host expires.
+        cancel_at: When to cancel the requests still in progress.
     """
 
     refuse_at: float
-    cut_at: float
+    cancel_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finishing:
-    """Take nothing new and finish what is in progress."""
+    """Stage: new requests are refused, and those in progress finish."""
 
-    cut_at: float
+    cancel_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cutting:
-    """Wait for the end of the attempts that were cancelled because the stop took too long.
+    """Stage: attempts were cancelled because the stop took too long, and have to end.
 
     Attributes:
-        until: When to stop all the same.
+        until: When to continue even if attempts have not ended.
     """
 
     until: float
@@ -49,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settling:
-    """Wait for outstanding confirmations, with nothing in progress."""
+    """Stage: nothing is in progress, and confirmations are outstanding until a time limit."""
 
     until: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stopped:
-    """Hold nothing any more; the process may exit."""
+    """Stage: the host holds nothing any more, and the process may exit."""
 
 
 Stage = Serving | Accepting | Finishing | Cutting | Settling | Stopped
@@ -64,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RemainingWork:
-    """Say what keeps this host from stopping.
+    """Work that keeps this host from stopping.
 
     Attributes:
         requests: Requests in progress.
@@ -84,13 +85,13 @@
 def advance(
     stage: Stage, remaining: RemainingWork, options: entry_options.EntryNodeOptions, now: float
 ) -> Stage:
-    """Return the stage that follows from the time and from what is left."""
+    """Return the next stage if the time or the remaining work requires it, else the same one."""
     match stage:
-        case Accepting(refuse_at, cut_at) if now >= refuse_at:
-            return advance(Finishing(cut_at), remaining, options, now)
+        case Accepting(refuse_at, cancel_at) if now >= refuse_at:
+            return advance(Finishing(cancel_at), remaining, options, now)
         case Finishing() if not remaining.requests:
             return advance(Settling(now + options.settle_s), remaining, options, now)
-        case Finishing(cut_at) if now >= cut_at:
+        case Finishing(cancel_at) if now >= cancel_at:
             return Cutting(now + options.settle_s)
         case Cutting(until) if not remaining.requests or now >= until:
             return advance(Settling(now + options.settle_s), remaining, options, now)
@@ -101,12 +102,12 @@
 
 
 def wake_at(stage: Stage) -> float:
-    """Return when time alone changes the stage."""
+    """Return when the stage changes by time alone; infinite if it does not."""
     match stage:
         case Accepting(refuse_at):
             return refuse_at
-        case Finishing(cut_at):
-            return cut_at
+        case Finishing(cancel_at):
+            return cancel_at
         case Cutting(until) | Settling(until):
             return until
         case _:
--- a/src/medlarfork/entry/entries_answer.py
+++ b/src/medlarfork/entry/entries_answer.py
@@ -1,4 +1,4 @@
-"""Answer which entry hosts a caller should use, and for how long."""
+"""Answer of ``/v1/entries``: which entry hosts a caller should use, and for how long."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from medlarfork.declared import configuration
 
 ENTRIES_PATH = "/v1/entries"
-"""Where callers ask which entry hosts to use."""
+"""Path at which callers look up entry hosts."""
 
 _MAX_ENTRIES = 16
-"""Most entry hosts named in one answer."""
+"""Maximum number of entry hosts in an answer."""
 
 _MIN_FREE_SHARE = 0.05
-"""Free share that a full host counts with, so that it is still named now and then."""
+"""Minimum free share assumed for a host, so that a full one is still listed occasionally."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """Name one entry host to a caller."""
+    """An entry host, as listed for callers."""
 
     address: str
     data_centre: str
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntriesAnswer:
-    """Hold the body of ``GET /v1/entries``; the first entry is the one to try first."""
+    """Body of ``GET /v1/entries``; callers try the entries in order."""
 
     entries: tuple[Entry, ...]
     lifetime_s: float
@@ -40,7 +40,7 @@
 def listable_members(
     view: member.View, declared: configuration.Configuration, *, exclude: Iterable[str] = ()
 ) -> tuple[member.Member, ...]:
-    """Return the entry hosts that may be named to callers."""
+    """Return the entry hosts that may be listed for callers."""
     left_out = frozenset(declared.drained_entries) | frozenset(exclude)
     return tuple(
         item
@@ -50,7 +50,7 @@
 
 
 def requested_data_centre(query: str) -> str:
-    """Return the data centre that the caller's query names as its own, if any."""
+    """Return the caller's own data centre from the query; an empty string if there is none."""
     return dict(urllib.parse.parse_qsl(query)).get("dc", "")
 
 
@@ -61,10 +61,10 @@
     lifetime_s: float,
     generator: random.Random,
 ) -> EntriesAnswer:
-    """Order the hosts: the caller's data centre first, then by chance, weighted by free share.
+    """Order the hosts: the caller's data centre first, then at random, weighted by free share.
 
-    Chance spreads callers that ask at the same time; a fixed order would send all of them to
-    the host that was idle a second ago.
+    The random order spreads callers that look up hosts at the same time. A fixed order would send
+    all of them to the host that was idle a second ago.
     """
     keyed = [(_order(item, data_centre, generator), item) for item in members]
     keyed.sort(key=lambda pair: pair[0])
@@ -76,6 +76,6 @@
     item: member.Member, data_centre: str, generator: random.Random
 ) -> tuple[bool, float, str]:
     free_share = max(1.0 - item.load, _MIN_FREE_SHARE)
-    # Smallest of exponential variables: each host comes first in proportion to its free share.
-    waiting = -math.log(1.0 - generator.random()) / free_share
-    return item.data_centre != data_centre, waiting, item.entry_id
+    # The minimum of exponential variables: each host is first in proportion to its free share.
+    arrival = -math.log(1.0 - generator.random()) / free_share
+    return item.data_centre != data_centre, arrival, item.entry_id
--- a/src/medlarfork/entry/entry.py
+++ b/src/medlarfork/entry/entry.py
@@ -1,7 +1,7 @@
-"""Decide everything an entry host does: its one door, and the line of filters of a request.
+"""The entry host's node: its single event interface and the request pipeline.
 
-A request passes parse, identify, classify, deduplicate and admit in ``EntryNode._take``; then
-its flow (``flow_machine``) waits for its claim and its slot, dispatches, retries and records.
+A request passes parse, identify, classify, deduplicate and admit in ``EntryNode._accept``. Its
+flow (``flow_machine``) then waits for the claim and a slot, dispatches, retries and records.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class EntryNode:
-    """Turn events into actions; see ``entry_types`` for both."""
+    """Handles events and returns actions; see ``entry_types`` for both."""
 
     def __init__(
         self,
@@ -40,17 +40,18 @@
         random: random.Random,
         make_scheduler: Callable[[str], owned_pool.Scheduler] | None = None,
     ) -> None:
-        """Create the node of one process.
+        """Create the node of an entry host process.
 
         Args:
-            options: Its options.
-            random: Seeded generator; the only source of chance.
-            make_scheduler: Makes the scheduler of a pool by its name; ``pool.Pool`` by default.
+            options: Options of this entry host.
+            random: Seeded generator; the only source of randomness.
+            make_scheduler: Creates the scheduler of a pool from the pool's name; ``pool.Pool`` by
+                default.
         """
         self._options = options
         self._random = random
         self._stage: drain.Stage = drain.Serving()
-        self._wake_asked_at = math.inf
+        self._scheduled_wake_at = math.inf
         self._directory = pool_directory.PoolDirectory(options.entry_id)
         self._pools = entry_pools.EntryPools(
             options.entry_id, self._directory, make_scheduler or self._make_scheduler
@@ -65,22 +66,22 @@
 
     def handle(self, event: Any, now: float) -> tuple[Any, ...]:
         """Handle an event at a monotonic time in seconds and return the actions, in order."""
-        actions = self._follow(self._on_event(event, now), now)
+        actions = self._apply_internal(self._on_event(event, now), now)
         if not isinstance(self._stage, drain.Serving):
-            actions += self._follow(self._advance_stage(now), now)
+            actions += self._apply_internal(self._advance_stage(now), now)
         actions += self._session.report()
         actions += self._wake(now)
         return tuple(actions)
 
     @property
     def view(self) -> member.View:
-        """Return the entry hosts that hold a lease, as last heard from control."""
+        """Return the entry hosts that hold a lease, as last received from control."""
         return self._session.view
 
     def entries(self, raw: entry_types.RawRequest, now: float) -> entry_types.Answer:
         """Answer ``GET /v1/entries``."""
-        named = isinstance(self._stage, drain.Serving)
-        return self._queries.entries(raw, now, named=named)
+        listed = isinstance(self._stage, drain.Serving)
+        return self._queries.entries(raw, now, listed=listed)
 
     def models(self, raw: entry_types.RawRequest) -> entry_types.Answer:
         """Answer ``GET /v1/models``."""
@@ -99,14 +100,14 @@
         return self._queries.explain(raw, account, now)
 
     def is_ready(self, now: float) -> bool:
-        """Return whether this host takes requests."""
+        """Return whether this host accepts requests."""
         host_status = self._queries.host_status(now, refusing=drain.refuses(self._stage))
         return host_status.usable and not host_status.refusing
 
     def _on_event(self, event: Any, now: float) -> Iterable[Any]:
         match event:
             case entry_types.RequestArrived(raw):
-                return self._arrive(raw, now)
+                return self._on_request(raw, now)
             case entry_types.CallerGone(request_id):
                 return self._requests.handle(request_id, event, now)
             case entry_types.AttemptStarted(attempt_id) | entry_types.AttemptEnded(attempt_id):
@@ -130,26 +131,26 @@
             case _:
                 return ()
 
-    def _arrive(self, raw: entry_types.RawRequest, now: float) -> Iterable[Any]:
+    def _on_request(self, raw: entry_types.RawRequest, now: float) -> Iterable[Any]:
         try:
-            return self._take(raw, now)
+            return self._accept(raw, now)
         except errors.MedlarError as error:
             headers = error.headers if isinstance(error, errors.RequestRefusedError) else {}
             status = answers.status_of(error)
             answer = answers.refusal(raw.request_id, error, status=status, headers=headers)
             return answer, record.refused(answer, error, self._session.revision)
 
-    def _take(self, raw: entry_types.RawRequest, now: float) -> Iterable[Any]:
-        """Pass a request along the filters that need no other process."""
+    def _accept(self, raw: entry_types.RawRequest, now: float) -> Iterable[Any]:
+        """Run the filters that need no other process, and start the request's flow."""
         declared = self._session.configuration
         host_status = self._queries.host_status(now, refusing=drain.refuses(self._stage))
         admit.check_host_status(host_status)
         parsed = parse.parse(raw)
         account = identify.identify(declared, raw.headers)
-        asked = classify.assign(declared, account, parsed, now=now)
-        deduplicate.check_key(declared, asked)
-        self._requests.admission.admit(len(raw.body), host_status, repeatable=asked.repeatable)
-        return self._requests.start(asked, len(raw.body), now)
+        incoming = classify.assign(declared, account, parsed, now=now)
+        deduplicate.check_key(declared, incoming)
+        self._requests.admission.admit(len(raw.body), host_status, repeatable=incoming.repeatable)
+        return self._requests.start(incoming, len(raw.body), now)
 
     def _on_message(self, sender: str, message: Any, now: float) -> Iterable[Any]:
         match message:
@@ -183,38 +184,38 @@
     def _on_time(self, event: node.TimeDue, now: float) -> Iterable[Any]:
         yield from self._session.handle(event, now)
         yield from self._directory.expire(now)
-        yield from self._pools.take_due(now)
-        yield from self._requests.take_due(now)
+        yield from self._pools.handle_due(now)
+        yield from self._requests.handle_due(now)
 
-    def _follow(self, actions: Iterable[Any], now: float) -> list[Any]:
-        """Carry out what stays inside this node until only actions for outside are left."""
-        left: list[Any] = []
-        waiting = collections.deque(actions)
-        while waiting:
-            action = waiting.popleft()
+    def _apply_internal(self, actions: Iterable[Any], now: float) -> list[Any]:
+        """Apply actions internal to this node and return the external ones, in order."""
+        external: list[Any] = []
+        pending = collections.deque(actions)
+        while pending:
+            action = pending.popleft()
             match action:
                 case node.Send(to, message) if to == self._options.entry_id:
-                    waiting.extend(self._on_message(to, message, now))
+                    pending.extend(self._on_message(to, message, now))
                 case pool_directory.ToPool(pool_name, event):
-                    self._note_upstream(pool_name, event)
-                    waiting.extend(self._pools.handle(pool_name, event, now))
+                    self._report_upstream(pool_name, event)
+                    pending.extend(self._pools.handle(pool_name, event, now))
                 case control_session.OutOfServiceApplied(upstream_ids):
-                    waiting.extend(self._pools.set_out_of_service(upstream_ids, now))
+                    pending.extend(self._pools.set_out_of_service(upstream_ids, now))
                 case control_session.ViewApplied(previous):
-                    waiting.extend(self._on_view(previous, now))
+                    pending.extend(self._on_view(previous, now))
                 case entry_types.ConfigurationApplied():
-                    left.append(action)
-                    waiting.extend(self._reconfigure(frozenset(), now))
+                    external.append(action)
+                    pending.extend(self._reconfigure(frozenset(), now))
                 case _:
-                    left.append(action)
-        return left
+                    external.append(action)
+        return external
 
-    def _note_upstream(self, pool_name: str, event: pool_events.UpstreamEvent) -> None:
-        """Tell control of an upstream whose pool is owned here."""
+    def _report_upstream(self, pool_name: str, event: pool_events.UpstreamEvent) -> None:
+        """Update the inventory report to control for an upstream whose pool is owned here."""
         match event:
             case pool_events.UpstreamGone(upstream_id):
                 self._session.upstreams.remove(upstream_id)
-            case _ if self._requests.owned.owns(pool_name):
+            case _ if self._requests.pool_ownership.owns(pool_name):
                 self._session.upstreams.observe(event.announcement)
 
     def _on_view(self, previous: member.View, now: float) -> Iterable[Any]:
@@ -226,31 +227,33 @@
             or current[item.entry_id].incarnation != item.incarnation
         }
         if self._options.entry_id in lost:
-            # The others have dropped what this host told them, but its own pools have not.
+            # Other hosts have dropped the state they held for this host; its own pools keep theirs.
             lost.remove(self._options.entry_id)
             return self._reconfigure(frozenset(current), now)
-        told = [sent for item in sorted(lost) for sent in self._pools.entry_lost(item, now)]
-        return (*told, *self._reconfigure(frozenset(lost), now))
+        sends = [send for item in sorted(lost) for send in self._pools.entry_lost(item, now)]
+        return (*sends, *self._reconfigure(frozenset(lost), now))
 
     def _reconfigure(self, restarted: frozenset[str], now: float) -> Iterable[Any]:
-        """Put the session's configuration and view in force; takes time linear in all state."""
+        """Apply the session's configuration and view; takes time linear in all state."""
         declared = self._session.configuration
-        view, before = self._session.view, self._requests.owned
-        owned = ownership.Ownership(self._options.entry_id, declared, view, before)
-        self._requests.owned = owned
-        names = frozenset(name for item in declared.services for name in owned.pools(item.name))
+        view, before = self._session.view, self._requests.pool_ownership
+        pool_ownership = ownership.Ownership(self._options.entry_id, declared, view, before)
+        self._requests.pool_ownership = pool_ownership
+        names = frozenset(
+            name for item in declared.services for name in pool_ownership.pools(item.name)
+        )
         self._requests.shards.retain_only(names)
-        moved = self._directory.apply(declared, owned, now)
-        handed = self._pools.apply(declared, owned, now)
+        directory_actions = self._directory.apply(declared, pool_ownership, now)
+        pool_sends = self._pools.apply(declared, pool_ownership, now)
         leases = self._directory.leases
         self._session.upstreams.retain_only(
-            lease.announcement for lease in leases if owned.owns(lease.pool)
+            lease.announcement for lease in leases if pool_ownership.owns(lease.pool)
         )
         changed = entry_flow.OwnersChanged(restarted)
-        return (*handed, *moved, *self._requests.handle_all(changed, now))
+        return (*pool_sends, *directory_actions, *self._requests.handle_all(changed, now))
 
     def _advance_stage(self, now: float) -> Iterable[Any]:
-        """Take a graceful stop further."""
+        """Advance a graceful stop to the stage that is due."""
         before = self._stage
         remaining = drain.RemainingWork(len(self._requests), self._requests.unconfirmed)
         self._stage = drain.advance(before, remaining, self._options, now)
@@ -275,9 +278,9 @@
         )
         if isinstance(self._stage, drain.Stopped) or at == math.inf:
             return []
-        if now < self._wake_asked_at <= at:
+        if now < self._scheduled_wake_at <= at:
             return []
-        self._wake_asked_at = at
+        self._scheduled_wake_at = at
         return [node.Wake(at)]
 
     def _member(self) -> member.Member:
--- a/src/medlarfork/entry/entry_api.py
+++ b/src/medlarfork/entry/entry_api.py
@@ -1,4 +1,4 @@
-"""Serve an entry host's HTTP paths that are not requests to a service."""
+"""HTTP endpoints of an entry host other than requests to a service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EntryApi:
-    """Answer health checks, metrics, ``/v1/entries``, ``/v1/models`` and operators' questions."""
+    """Answers health checks, metrics, ``/v1/entries``, ``/v1/models`` and operators' queries."""
 
     def __init__(
         self,
@@ -30,7 +30,11 @@
         operator_key_sha256: Iterable[str],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Answer from these parts; empty key digests let everybody announce, nobody ask."""
+        """Create the API.
+
+        Without announcement key digests any upstream may announce itself; without operator key
+        digests every operator query is refused.
+        """
         self._node = node
         self._metrics = metrics
         self._announce_keys = tuple(announce_key_sha256)
@@ -57,7 +61,7 @@
     async def read_announcement(
         self, exchange: http_server.Exchange
     ) -> upstream.Announcement | None:
-        """Read an announcement; a malformed one is answered here and gives None."""
+        """Read an announcement; answer a malformed one with an error and return None."""
         body = await exchange.read_body()
         try:
             return msgspec.json.decode(body, type=upstream.Announcement)
@@ -76,7 +80,7 @@
         await exchange.respond(200, _JSON, msgspec.json.encode(reply))
 
     async def serve(self, exchange: http_server.Exchange, request_id: str) -> bool:
-        """Answer the request if its path is one of these; return whether it was."""
+        """Answer the request if its path is one of these endpoints; return whether it is."""
         head = exchange.head
         if head.method not in ("GET", "HEAD"):
             return False
@@ -120,23 +124,23 @@
             await self._explain(exchange, request_id)
 
     async def _explain(self, exchange: http_server.Exchange, request_id: str) -> None:
-        asked = dict(urllib.parse.parse_qsl(exchange.head.query))
-        raw = _explained_request(request_id, asked)
+        params = dict(urllib.parse.parse_qsl(exchange.head.query))
+        raw = _explained_request(request_id, params)
         try:
-            explanation = self._node.explain(raw, asked.get("account", ""), self._clock())
+            explanation = self._node.explain(raw, params.get("account", ""), self._clock())
         except errors.MedlarError as error:
             await _respond_error(exchange, answers.status_of(error), error)
         else:
             await exchange.respond(200, _JSON, msgspec.json.encode(explanation))
 
 
-def _explained_request(request_id: str, asked: dict[str, str]) -> entry_types.RawRequest:
-    """Return the request that an operator asks about."""
-    headers = {header_names.LABELS.lower(): asked.get("labels", "")}
-    if "path" in asked:
-        method = asked.get("method", "GET")
-        return entry_types.RawRequest(request_id, method, asked["path"], "", headers, b"")
-    body = msgspec.json.encode({"model": asked.get("model", ""), "messages": []})
+def _explained_request(request_id: str, params: dict[str, str]) -> entry_types.RawRequest:
+    """Return the request to explain, from the operator's query parameters."""
+    headers = {header_names.LABELS.lower(): params.get("labels", "")}
+    if "path" in params:
+        method = params.get("method", "GET")
+        return entry_types.RawRequest(request_id, method, params["path"], "", headers, b"")
+    body = msgspec.json.encode({"model": params.get("model", ""), "messages": []})
     return entry_types.RawRequest(request_id, "POST", parse.CHAT_PATH, "", headers, body)
 
 
@@ -149,7 +153,7 @@
     if scheme.lower() != "bearer":
         return False
     digest = hashlib.sha256(key.strip().encode("utf-8", "surrogateescape")).hexdigest()
-    # Every digest is compared, so that the time taken says nothing about which one matched.
+    # All digests are compared, so that the time taken does not reveal which one matched.
     matches = [hmac.compare_digest(digest, known) for known in digests]
     return any(matches)
 
--- a/src/medlarfork/entry/entry_flow.py
+++ b/src/medlarfork/entry/entry_flow.py
@@ -1,8 +1,7 @@
-"""Define one request's way through an entry host: frozen states, events and effects.
+"""States, events and effects of a request's flow through an entry host.
 
-The states of a request are ``Claiming`` (not-repeatable ones only), ``Waiting``, ``Running`` and
-``Stopping``; a request without a state has its final answer. Module ``flow_machine`` holds the
-transitions.
+A request is ``Claiming`` (only if it is not repeatable), ``Waiting``, ``Running`` or ``Stopping``;
+a request without a state has its final answer. Module ``flow_machine`` holds the transitions.
 """
 
 from __future__ import annotations
@@ -18,47 +17,47 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claiming:
-    """Wait for control to decide on the claim; nothing has left for an upstream.
+    """State: control has not decided on the claim yet, and nothing was sent to an upstream.
 
     Attributes:
-        heard_at: When control last answered, or when it was first asked.
-        ask_at: When to ask (again).
-        contended: Whether control said that another request holds the key.
+        last_reply_at: When control last replied; before that, when the claim was first requested.
+        ask_at: When to send the next claim request.
+        contended: Whether control replied that another request holds the key.
     """
 
-    heard_at: float
+    last_reply_at: float
     ask_at: float
     contended: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting:
-    """Wait for a slot.
+    """State: a ticket is queued, and no slot has been granted.
 
     Attributes:
         ticket_id: The ticket of the next attempt.
-        pool: Where it queues.
-        owner: The entry host that was asked last; only its grant counts.
-        asked_at: When the owner was first asked without having answered since; None if it
-            answered.
+        pool: The pool where it is queued.
+        owner: The entry host that the ticket was last sent to; only its grant is accepted.
+        unanswered_since: When the first ticket that the owner has not answered was sent; None if
+            it has answered.
         resend_at: When to send the ticket again.
     """
 
     ticket_id: str
     pool: str
     owner: str
-    asked_at: float | None
+    unanswered_since: float | None
     resend_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """Run one attempt.
+    """State: an attempt is running at an upstream.
 
     Attributes:
-        ticket_id: Its ticket, and the attempt's id.
-        owner: The entry host that the slot goes back to.
-        first_byte_at: When the first byte of its answer was relayed; None if none was.
+        ticket_id: Id of the ticket and of the attempt.
+        owner: The entry host to release the slot to.
+        first_byte_at: When the first byte of the answer was relayed; None if none was.
     """
 
     ticket_id: str
@@ -70,7 +69,7 @@
 
 
 class StopCause(enum.StrEnum):
-    """Say why an attempt was cancelled."""
+    """Reason for cancelling an attempt."""
 
     PREEMPTED = "preempted"
     CALLER_GONE = "caller_gone"
@@ -80,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stopping:
-    """Wait for the end of an attempt that was cancelled."""
+    """State: an attempt was cancelled and has not ended yet."""
 
     running: Running
     cause: StopCause
@@ -91,25 +90,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Flow:
-    """Hold one request in progress.
+    """A request in progress.
 
     Attributes:
-        asked: The request.
-        request_class: Its class as of the revision it was classified under.
+        request: The request.
+        request_class: Its class in the configuration revision it was classified under.
         revision: That revision.
         body_bytes: Size of its body, as counted at admission.
-        state: Where it stands.
+        state: Its current state.
         attempt: Number of the last ticket.
-        dispatches: Attempts dispatched.
-        retries: Attempts beyond the first, those after a preemption aside.
-        avoid: Upstreams that failed or refused it.
-        claimed: Whether a claim is held, or may yet be granted, that has to be settled.
+        dispatches: Number of attempts dispatched.
+        retries: Attempts beyond the first, not counting those after a preemption.
+        avoid: Upstreams that failed or refused the request.
+        claimed: Whether a claim is held, or may still be granted, and has to be settled.
         uncertain: Whether an ended attempt may have run.
         relayed: Whether any byte of an answer has reached the caller.
-        tokens: Tokens of the answer that can be resumed.
+        tokens: Tokens of the answer after which a stream can be resumed.
     """
 
-    asked: request.Request
+    request: request.Request
     request_class: configuration.RequestClass
     revision: int
     body_bytes: int
@@ -128,13 +127,13 @@
 
     @property
     def resumable(self) -> bool:
-        """Return whether an attempt of it may be preempted."""
-        return self.asked.preemptible and self.asked.repeatable and bool(self.asked.model)
+        """Return whether an attempt may be preempted and resumed later."""
+        return self.request.preemptible and self.request.repeatable and bool(self.request.model)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Event: another entry host, or this one as the pool's owner, said something of a ticket."""
+    """Event: a message about a ticket from the pool's owner, which may be this entry host."""
 
     sender: str
     message: ticket.Grant | ticket.Shed | ticket.Preempt | ticket.Queued
@@ -142,15 +141,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimerDue:
-    """Event: the flow's timer has come."""
+    """Event: the flow's timer is due."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnersChanged:
-    """Event: owners may have changed.
+    """Event: the owners of pools may have changed.
 
     Attributes:
-        restarted: Entry hosts that have lost what they were told before.
+        restarted: Entry hosts that have lost the tickets sent to them before.
     """
 
     restarted: frozenset[str] = frozenset()
@@ -158,7 +157,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """Event: the entry host must stop now."""
+    """Event: the entry host stops now; attempts still running are cancelled."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -171,7 +170,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseSlot:
-    """Effect: send a release to a pool's owner until it is confirmed."""
+    """Effect: release a slot to a pool's owner; the release is resent until it is confirmed."""
 
     owner: str
     release: ticket.Release
@@ -186,21 +185,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleClaim:
-    """Effect: tell control what became of a claim until it confirms."""
+    """Effect: report the outcome of a claim to control; resent until control confirms it."""
 
     message: claim.ClaimFinish | claim.ClaimAbandon
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """Hold the result of one event: the flow, or None if it has ended, and the effects."""
+    """Result of one event: the flow, or None if the request has ended, and the effects."""
 
     flow: Flow | None
     effects: tuple[Any, ...] = ()
 
 
 def ticket_id(request_id: str, attempt: int) -> str:
-    """Return the id of a request's ticket for one attempt."""
+    """Return the id of the ticket for an attempt of a request."""
     return f"{request_id}.{attempt}"
 
 
@@ -210,8 +209,8 @@
 
 
 def wake_at(flow: Flow) -> float:
-    """Return when the flow next needs ``TimerDue``."""
-    deadline_at = flow.asked.deadline_at
+    """Return when the flow's timer is due."""
+    deadline_at = flow.request.deadline_at
     match flow.state:
         case Claiming(ask_at=ask_at):
             return min(ask_at, deadline_at)
--- a/src/medlarfork/entry/entry_options.py
+++ b/src/medlarfork/entry/entry_options.py
@@ -1,4 +1,4 @@
-"""Define the options of the entry host's node."""
+"""Options of the entry host's node."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryNodeOptions:
-    """Hold what an entry node is told at its start; durations in seconds.
+    """Options of an entry node; durations in seconds.
 
     Attributes:
         entry_id: Stable identity of this entry host.
-        incarnation: Grows with each start of the process.
+        incarnation: Increases with each start of the process.
         link_address: ``tcp://IP:PORT`` of the link to other processes.
         http_address: ``http://IP:PORT`` for callers and upstreams.
-        data_centre: Where this host stands.
+        data_centre: Data centre of this host.
         control_ids: The control replicas.
         proof_s: How long an answered heartbeat proves the configuration current.
-        unproven: What to do while it is not proved current.
+        unproven: Policy while the configuration is not proved current.
         entries_lifetime_s: How long callers may keep the answer of ``/v1/entries``.
         drain_notice_s: How long other hosts may take to learn that this one is draining.
-        drain_limit_s: How long a graceful stop may take before it cuts.
+        drain_limit_s: Time limit of a graceful stop, after which requests are cancelled.
         settle_s: How long the end of a graceful stop waits for outstanding confirmations.
-        request_limit: Requests in progress at once.
-        held_bytes_limit: Bytes of request bodies held at once.
-        claim_resend_s: Pause before an unanswered claim request is sent again.
-        claim_timeout_s: How long control may be silent before a claim is given up.
-        claim_poll_s: Pause before asking again for a claim that another request holds.
-        ticket_resend_s: Pause before an unconfirmed ticket is sent again.
-        ticket_refresh_s: Pause before a confirmed ticket that still waits is sent again.
-        owner_timeout_s: How long an owner may be silent before the next one is asked.
-        retry_share: Retries allowed for each request, as a share of all requests of a service.
+        request_limit: Maximum number of requests in progress.
+        held_bytes_limit: Maximum total size of the bodies of requests in progress, in bytes.
+        claim_resend_s: Interval at which an unanswered claim request is resent.
+        claim_timeout_s: How long control may be silent before a claim request fails.
+        claim_poll_s: Interval of the requests for a claim that another request holds.
+        ticket_resend_s: Interval at which an unconfirmed ticket is resent.
+        ticket_refresh_s: Interval at which a confirmed ticket that is still queued is resent.
+        owner_timeout_s: How long an owner may be silent before the ticket goes to the next one.
+        retry_share: Retry budget as a share of the requests of a service.
         retry_burst: Retries allowed at once beyond that share.
-        attempts_limit: Dispatches of one request at most, those after a preemption aside.
+        attempts_limit: Maximum dispatches of a request, not counting those after a preemption.
     """
 
     entry_id: str
--- a/src/medlarfork/entry/entry_program.py
+++ b/src/medlarfork/entry/entry_program.py
@@ -1,4 +1,4 @@
-"""Run an entry host: wire its node to callers, upstreams, other hosts and control."""
+"""Program of an entry host: connects its node to callers, upstreams, other hosts and control."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
 
 _log = logging.getLogger(__name__)
 
-_WATCH_AFTER_S = 0.05
-"""Requests older than this get a task that notices the caller's leaving, in seconds.
+_WATCH_DELAY_S = 0.05
+"""Age from which a request gets a task that detects a closed caller connection, in seconds.
 
-Most calls of plain services end sooner and never pay for one.
+Most calls of plain services end sooner, which saves them the cost of the task.
 """
 
-_CUT_WITHIN_S = 5.0
-"""How long connections may take to close once nothing is in progress, in seconds."""
+_CLOSE_TIMEOUT_S = 5.0
+"""Timeout for closing connections once nothing is in progress, in seconds."""
 
 _LINK_LINGER_S = 0.05
-"""How long the last heartbeat may take to leave the process, in seconds."""
+"""Time for the last heartbeat to be sent before the link is closed, in seconds."""
 
 
 class EntryProgram:
-    """Own the parts of one entry host's process."""
+    """Owns the parts of an entry host process."""
 
-    def __init__(self, given: entry_settings.EntrySettings) -> None:
-        """Prepare the parts that need no address."""
-        self._given = given
-        self._conversation_by_id: dict[str, caller_session.CallerSession] = {}
+    def __init__(self, settings: entry_settings.EntrySettings) -> None:
+        """Create the parts that need no listening address."""
+        self._settings = settings
+        self._session_by_id: dict[str, caller_session.CallerSession] = {}
         self._unwatched: collections.deque[caller_session.CallerSession] = collections.deque()
         self._replies_by_call: dict[str, curio.Queue] = {}
         self._drained = curio.Event()
@@ -59,13 +59,13 @@
         self._metrics = telemetry.Telemetry()
         self._client = http_client.HttpClient()
         self._server = http_server.HttpServer(
-            self._serve, host=given.http_host, port=given.http_port
+            self._serve, host=settings.http_host, port=settings.http_port
         )
         self._link = link.Link(
-            identity=given.entry_id,
+            identity=settings.entry_id,
             codec=wire.make_codec(),
-            bind=given.link_address,
-            keys=keys.load_if_configured(given.keys_folder, given.entry_id),
+            bind=settings.link_address,
+            keys=keys.load_if_configured(settings.keys_folder, settings.entry_id),
         )
         self._peer_links = _peer_links.PeerLinks(self._link)
 
@@ -78,17 +78,17 @@
         """Open the link and the HTTP server and start the node."""
         await self._client.start()
         await self._link.start()
-        for control in self._given.controls:
+        for control in self._settings.controls:
             self._link.connect(control.replica_id, control.link_address)
         await self._server.start()
         self._node = self._make_node()
-        self._observe()
+        self._register_gauges()
         self._metrics.start()
         self._api = entry_api.EntryApi(
             self._node,
             self._metrics,
-            announce_key_sha256=self._given.announce_key_sha256,
-            operator_key_sha256=self._given.operator_key_sha256,
+            announce_key_sha256=self._settings.announce_key_sha256,
+            operator_key_sha256=self._settings.operator_key_sha256,
         )
         self._runner = runner.Runner(self._node, perform=self._perform)
         await self._runner.start()
@@ -99,14 +99,14 @@
         logs.event(_log, "started", http=self.http_address, link=self._link.address)
 
     async def drain(self) -> None:
-        """Stop gracefully: return once nothing is in progress or owned here any more."""
+        """Stop gracefully; return once nothing is in progress or owned here any more."""
         logs.event(_log, "draining")
         await self._runner.post(entry_types.DrainRequested())
         await self._drained.wait()
 
     async def close(self) -> None:
-        """Close everything; what is still in progress is cut."""
-        await self._server.close(within_s=_CUT_WITHIN_S)
+        """Close everything; requests still in progress are aborted."""
+        await self._server.close(within_s=_CLOSE_TIMEOUT_S)
         for task in self._tasks:
             await task.cancel()
         await self._runner.close()
@@ -117,24 +117,24 @@
         logs.event(_log, "stopped")
 
     def _make_node(self) -> entry.EntryNode:
-        given = self._given
+        settings = self._settings
         options = entry_options.EntryNodeOptions(
-            entry_id=given.entry_id,
+            entry_id=settings.entry_id,
             incarnation=time.time_ns() // 1_000_000,
             link_address=self._link.address,
             http_address=self.http_address,
-            data_centre=given.data_centre,
-            control_ids=tuple(control.replica_id for control in given.controls),
-            proof_s=given.proof_s,
-            unproven=given.unproven,
-            entries_lifetime_s=given.entries_lifetime_s,
-            drain_limit_s=given.drain_limit_s,
-            request_limit=given.request_limit,
+            data_centre=settings.data_centre,
+            control_ids=tuple(control.replica_id for control in settings.controls),
+            proof_s=settings.proof_s,
+            unproven=settings.unproven,
+            entries_lifetime_s=settings.entries_lifetime_s,
+            drain_limit_s=settings.drain_limit_s,
+            request_limit=settings.request_limit,
         )
         return entry.EntryNode(options=options, random=random.Random(secrets.randbits(64)))
 
-    def _observe(self) -> None:
-        """Tell the metrics where to read their gauges."""
+    def _register_gauges(self) -> None:
+        """Register the sources of the gauges."""
 
         def _status() -> Any:
             return self._node.status(time.monotonic())
@@ -156,11 +156,11 @@
             case node.Send(to, message):
                 self._send(to, message)
             case entry_types.Dispatch(request_id) | entry_types.Answer(request_id):
-                await self._tell(request_id, action)
+                await self._enqueue_action(request_id, action)
             case entry_types.FinishRelay(request_id):
-                await self._tell(request_id, action)
+                await self._enqueue_action(request_id, action)
             case entry_types.CancelAttempt(attempt_id):
-                await self._cancel(attempt_id)
+                await self._cancel_attempt(attempt_id)
             case entry_types.AnnouncementAnswered(call_id, reply):
                 await self._replies_by_call[call_id].put(reply)
             case entry_types.Record():
@@ -180,31 +180,31 @@
         else:
             self._peer_links.send(to, member.link_address, message, now)
 
-    async def _tell(self, request_id: str, action: Any) -> None:
-        found = self._conversation_by_id.get(request_id)
-        if found is not None:
-            await found.enqueue_action(action)
+    async def _enqueue_action(self, request_id: str, action: Any) -> None:
+        session = self._session_by_id.get(request_id)
+        if session is not None:
+            await session.enqueue_action(action)
 
-    async def _cancel(self, attempt_id: str) -> None:
-        found = self._conversation_by_id.get(entry_flow.request_id_of(attempt_id))
-        if found is not None:
-            await found.cancel_attempt(attempt_id)
+    async def _cancel_attempt(self, attempt_id: str) -> None:
+        session = self._session_by_id.get(entry_flow.request_id_of(attempt_id))
+        if session is not None:
+            await session.cancel_attempt(attempt_id)
 
     async def _receive(self) -> None:
         while True:
             await self._runner.post(await self._link.receive())
 
     async def _serve(self, exchange: http_server.Exchange) -> None:
-        """Answer one HTTP request."""
+        """Answer an HTTP request."""
         request_id = uuid7.make(
             time.time_ns() // 1_000_000, secrets.token_bytes(uuid7.RANDOM_BYTES)
         )
         if self._api.is_announcement(exchange.head):
-            await self._take_announcement(exchange, request_id)
+            await self._serve_announcement(exchange, request_id)
         elif not await self._api.serve(exchange, request_id):
-            await self._converse(exchange, request_id)
+            await self._serve_request(exchange, request_id)
 
-    async def _take_announcement(self, exchange: http_server.Exchange, call_id: str) -> None:
+    async def _serve_announcement(self, exchange: http_server.Exchange, call_id: str) -> None:
         if not self._api.may_announce(exchange.head):
             await self._api.refuse_announcement(exchange)
             return
@@ -218,74 +218,74 @@
         finally:
             del self._replies_by_call[call_id]
 
-    async def _converse(self, exchange: http_server.Exchange, request_id: str) -> None:
-        """Pass a caller's request to the node and carry out what it decides."""
+    async def _serve_request(self, exchange: http_server.Exchange, request_id: str) -> None:
+        """Pass a caller's request to the node and perform the node's actions for it."""
         head = exchange.head
         body = await exchange.read_body()
         raw = entry_types.RawRequest(
             request_id, head.method, head.path, head.query, head.headers, body
         )
-        held = caller_session.CallerSession(raw, exchange, time.monotonic())
-        self._conversation_by_id[request_id] = held
-        self._unwatched.append(held)
+        session = caller_session.CallerSession(raw, exchange, time.monotonic())
+        self._session_by_id[request_id] = session
+        self._unwatched.append(session)
         try:
             await self._runner.post(entry_types.RequestArrived(raw))
-            await self._carry_out(held)
+            await self._perform_session(session)
         finally:
-            del self._conversation_by_id[request_id]
-            if held.watcher is not None:
-                await held.watcher.cancel()
+            del self._session_by_id[request_id]
+            if session.watcher is not None:
+                await session.watcher.cancel()
 
-    async def _carry_out(self, held: caller_session.CallerSession) -> None:
+    async def _perform_session(self, session: caller_session.CallerSession) -> None:
         while True:
-            match await held.next_action():
+            match await session.next_action():
                 case entry_types.Dispatch() as action:
-                    await self._start_attempt(held, action)
+                    await self._start_attempt(session, action)
                 case entry_types.Answer() as action:
-                    await _join_attempt(held)
-                    await held.answer(action)
+                    await _join_attempt(session)
+                    await session.answer(action)
                     return
                 case entry_types.FinishRelay(complete=complete):
-                    await _join_attempt(held)
-                    await held.finish(complete=complete)
+                    await _join_attempt(session)
+                    await session.finish(complete=complete)
                     return
                 case entry_types.CallerGone() as event:
                     await self._runner.post(event)
-                    # The node awaits the end of an attempt that was not taken yet, too.
-                    while (left := held.take_dispatch()) is not None:
-                        await self._start_attempt(held, left)
-                    await _join_attempt(held)
-                    await held.exchange.abort()
+                    # The node also awaits the end of attempts whose dispatch is still queued.
+                    while (left := session.pop_dispatch()) is not None:
+                        await self._start_attempt(session, left)
+                    await _join_attempt(session)
+                    await session.exchange.abort()
                     return
 
     async def _start_attempt(
-        self, held: caller_session.CallerSession, action: entry_types.Dispatch
+        self, session: caller_session.CallerSession, action: entry_types.Dispatch
     ) -> None:
-        await _join_attempt(held)
-        attempt = upstream_attempt.UpstreamAttempt(action, held, self._client, self._runner.post)
-        held.run_attempt(action.attempt_id, await curio.spawn(attempt.run))
+        await _join_attempt(session)
+        attempt = upstream_attempt.UpstreamAttempt(action, session, self._client, self._runner.post)
+        session.set_attempt(action.attempt_id, await curio.spawn(attempt.run))
 
     async def _watch_callers(self) -> None:
-        """Give requests that take long a task that notices the caller's leaving."""
+        """Start a task for each long request that detects a closed caller connection."""
         while True:
-            await curio.sleep(_WATCH_AFTER_S)
-            before = time.monotonic() - _WATCH_AFTER_S
+            await curio.sleep(_WATCH_DELAY_S)
+            before = time.monotonic() - _WATCH_DELAY_S
             while self._unwatched and self._unwatched[0].opened_at <= before:
-                held = self._unwatched.popleft()
-                if held.raw.request_id in self._conversation_by_id:
-                    held.watcher = await curio.spawn(self._watch, held)
+                session = self._unwatched.popleft()
+                if session.raw.request_id in self._session_by_id:
+                    session.watcher = await curio.spawn(self._watch, session)
 
-    async def _watch(self, held: caller_session.CallerSession) -> None:
-        await held.exchange.wait_caller_gone()
-        await held.enqueue_action(entry_types.CallerGone(held.raw.request_id))
+    async def _watch(self, session: caller_session.CallerSession) -> None:
+        await session.exchange.wait_caller_gone()
+        await session.enqueue_action(entry_types.CallerGone(session.raw.request_id))
 
 
-async def _join_attempt(held: caller_session.CallerSession) -> None:
+async def _join_attempt(session: caller_session.CallerSession) -> None:
     """Wait until the attempt has reported its end."""
-    if held.attempt is not None:
+    if session.attempt is not None:
         with contextlib.suppress(curio.TaskError):
-            await held.attempt.join()
-        held.attempt = None
+            await session.attempt.join()
+        session.attempt = None
 
 
 def _log_record(record: entry_types.Record) -> None:
@@ -309,25 +309,25 @@
     )
 
 
-async def _run_until_stopped(given: entry_settings.EntrySettings) -> None:
-    told_to_stop = _stop_signal.StopSignal()
-    told_to_stop.start()
-    program = EntryProgram(given)
+async def _run_until_stopped(settings: entry_settings.EntrySettings) -> None:
+    stop_signal = _stop_signal.StopSignal()
+    stop_signal.start()
+    program = EntryProgram(settings)
     try:
         await program.start()
-        await told_to_stop.wait()
+        await stop_signal.wait()
         await program.drain()
         await program.close()
     finally:
-        told_to_stop.close()
+        stop_signal.close()
 
 
 def run() -> None:
     """Start the program from the command line."""
     with program_exit.exit_on_error():
-        given = _settings_flag.read("medlar-entry", entry_settings.EntrySettings)
-        logs.configure(given.log_level, given.entry_id)
-        curio.run(_run_until_stopped, given)
+        settings = _settings_flag.read("medlar-entry", entry_settings.EntrySettings)
+        logs.configure(settings.log_level, settings.entry_id)
+        curio.run(_run_until_stopped, settings)
 
 
 if __name__ == "__main__":
--- a/src/medlarfork/entry/entry_queries.py
+++ b/src/medlarfork/entry/entry_queries.py
@@ -1,4 +1,4 @@
-"""Answer what callers and operators ask of an entry host, without changing anything."""
+"""Read-only queries of callers and operators to an entry host."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from medlarfork.pool import pool_view
 
 _MAX_ALTERNATIVES = 4
-"""Other entry hosts named in a refusal."""
+"""Maximum number of other entry hosts listed in a refusal."""
 
 
 class EntryQueries:
-    """Read from the parts of an entry node."""
+    """Answers queries from the state of an entry node."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         directory: pool_directory.PoolDirectory,
         generator: random.Random,
     ) -> None:
-        """Read from these parts."""
+        """Create the queries over the parts of a node."""
         self._options = options
         self._session = session
         self._requests = requests
@@ -48,23 +48,23 @@
         self._generator = generator
 
     def host_status(self, now: float, *, refusing: bool) -> admit.HostStatus:
-        """Return how this host stands."""
+        """Return whether this host accepts requests, and which others do."""
         proven = self._session.is_proven(now)
         serve = self._options.unproven is entry_settings.UnprovenPolicy.SERVE
         usable = self._session.revision > 0 and (proven or serve)
         others: tuple[str, ...] = ()
         if refusing or not usable or self._requests.admission.load >= 1.0:
-            others = self._others()
+            others = self._alternatives()
         return admit.HostStatus(refusing, usable, proven, others)
 
     def entries(
-        self, raw: entry_types.RawRequest, now: float, *, named: bool
+        self, raw: entry_types.RawRequest, now: float, *, listed: bool
     ) -> entry_types.Answer:
-        """Answer ``GET /v1/entries``; ``named`` says whether this host may be named."""
-        exclude = () if named and self._session.is_proven(now) else (self._entry_id,)
-        members = self._nameable(exclude)
-        # A host that can't vouch for itself is still better than none at all.
-        members = members or self._nameable(())
+        """Answer ``GET /v1/entries``; ``listed`` states whether this host may be listed."""
+        exclude = () if listed and self._session.is_proven(now) else (self._entry_id,)
+        members = self._listable_members(exclude)
+        # If there is no other host, one with an unproven configuration is better than none.
+        members = members or self._listable_members(())
         data_centre = entries_answer.requested_data_centre(raw.query) or self._options.data_centre
         body = entries_answer.build(
             members,
@@ -97,8 +97,8 @@
             errors.MedlarError: The account is not declared, or the request would be refused.
         """
         declared = self._session.configuration
-        found = declared.account_by_name.get(account)
-        if found is None:
+        known_account = declared.account_by_name.get(account)
+        if known_account is None:
             raise errors.OperatorError(
                 f"There is no client account {account[:80]!r}.",
                 remedy="Name one of the accounts of the configuration in force.",
@@ -107,16 +107,16 @@
         return explain.build(
             declared,
             self._session.revision,
-            found,
+            known_account,
             parse.parse(raw),
-            self._requests.owned,
+            self._requests.pool_ownership,
             self._directory,
             self._pools.upstream_views(),
             now,
         )
 
     def status(self, now: float, stage: str) -> entry_status.EntryStatus:
-        """Describe this host to operators; takes time linear in what is in progress."""
+        """Describe this host to operators; takes time linear in requests and upstreams."""
         age_s = self._session.proof_age_s(now)
         views = self._pools.upstream_views()
         return entry_status.EntryStatus(
@@ -145,13 +145,13 @@
     def _declared(self) -> configuration.Configuration:
         return self._session.configuration
 
-    def _nameable(self, exclude: tuple[str, ...]) -> tuple[member.Member, ...]:
+    def _listable_members(self, exclude: tuple[str, ...]) -> tuple[member.Member, ...]:
         return entries_answer.listable_members(
             self._session.view, self._declared(), exclude=exclude
         )
 
-    def _others(self) -> tuple[str, ...]:
-        members = self._nameable((self._entry_id,))
+    def _alternatives(self) -> tuple[str, ...]:
+        members = self._listable_members((self._entry_id,))
         body = entries_answer.build(
             members,
             data_centre=self._options.data_centre,
@@ -173,7 +173,7 @@
         announcement.address,
         lease.pool,
         str(announcement.state),
-        now - lease.heard_at,
+        now - lease.announced_at,
         lease.conflicts,
         None if view is None else entry_status.use_of(view, now),
     )
--- a/src/medlarfork/entry/entry_requests.py
+++ b/src/medlarfork/entry/entry_requests.py
@@ -1,4 +1,4 @@
-"""Hold the requests in progress on an entry host and perform what their flows ask for."""
+"""The requests in progress on an entry host, and the effects of their flows."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from medlarfork.pool import ownership
 
 _MAX_RELEASES = 20_000
-"""Most releases of slots whose receipt has not been confirmed."""
+"""Maximum number of unconfirmed slot releases."""
 
 _RELEASE_TIMEOUT_S = 20.0
-"""How long a release is sent again, in seconds."""
+"""How long an unconfirmed release is resent, in seconds."""
 
 
 class EntryRequests:
-    """Keep each request's flow, timer and share of the bounds; the flows' surroundings."""
+    """Holds each request's flow and timer; it is the ``FlowContext`` of the flows."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
     ) -> None:
         """Start with no request in progress."""
         self.options = options
-        self.owned = ownership.Ownership(
+        self.pool_ownership = ownership.Ownership(
             options.entry_id, configuration.Configuration(), member.View()
         )
         self.shards = _shard_choice.ShardChoice(options.entry_id, generator)
@@ -75,33 +75,33 @@
         return min(earliest, self._timers.earliest())
 
     def choose_pool(self, service: str, now: float) -> str:
-        """Return the pool to queue at; an empty text if the service has none any more."""
+        """Return the pool to queue at; an empty string if the service has none any more."""
         hosts = len(self._session.view.members)
-        return self.shards.choose(self.owned.pools(service), hosts, now)
+        return self.shards.choose(self.pool_ownership.pools(service), hosts, now)
 
     def owners(self, pool: str) -> tuple[str, ...]:
-        """Return the entry hosts to ask for the pool, best first."""
-        return self.owned.owners(pool)
+        """Return the entry hosts to send the pool's tickets to, owner first."""
+        return self.pool_ownership.owners(pool)
 
     def spend_retry(self, service: str) -> bool:
-        """Take one retry of the service's budget."""
+        """Take one retry from the service's budget; return whether there was one."""
         return self._budgets.spend(service)
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether control can't have given this host up as lost."""
+        """Return whether this host's lease is certain to be valid at control."""
         return self._session.holds_lease(now)
 
-    def start(self, asked: request.Request, body_bytes: int, now: float) -> tuple[Any, ...]:
-        """Take an admitted request."""
-        self._budgets.earn(asked.service)
-        request_class = self._session.configuration.class_by_name[asked.class_name]
-        state = entry_flow.Claiming(heard_at=now, ask_at=now)
-        flow = entry_flow.Flow(asked, request_class, self._session.revision, body_bytes, state)
-        self._flow_by_id[asked.request_id] = flow
-        return self._after(asked.request_id, self._machine.start(flow, now), now)
+    def start(self, incoming: request.Request, body_bytes: int, now: float) -> tuple[Any, ...]:
+        """Start the flow of an admitted request."""
+        self._budgets.earn(incoming.service)
+        request_class = self._session.configuration.class_by_name[incoming.class_name]
+        state = entry_flow.Claiming(last_reply_at=now, ask_at=now)
+        flow = entry_flow.Flow(incoming, request_class, self._session.revision, body_bytes, state)
+        self._flow_by_id[incoming.request_id] = flow
+        return self._after(incoming.request_id, self._machine.start(flow, now), now)
 
     def handle(self, request_id: str, event: Any, now: float) -> tuple[Any, ...]:
-        """Apply an event to one request; without effect if it is not in progress any more."""
+        """Apply an event to a request; ignored if the request is not in progress any more."""
         flow = self._flow_by_id.get(request_id)
         if flow is None:
             return ()
@@ -113,7 +113,7 @@
         return tuple(action for item in ids for action in self.handle(item, event, now))
 
     def on_peer(self, sender: str, message: Any, now: float) -> tuple[Any, ...]:
-        """Apply what a pool's owner said of a ticket."""
+        """Handle a message of a pool's owner about a ticket."""
         request_id = entry_flow.request_id_of(message.ticket_id)
         if request_id in self._flow_by_id:
             return self.handle(request_id, entry_flow.PeerMessage(sender, message), now)
@@ -123,7 +123,7 @@
         return self._release_slot(sender, release, now)
 
     def on_claim_reply(self, reply: claim.ClaimReply, now: float) -> tuple[Any, ...]:
-        """Apply control's answer to a claim request of this incarnation."""
+        """Apply a claim reply of control; replies to other incarnations are ignored."""
         holder = reply.holder
         mine = (holder.entry_id, holder.incarnation)
         if mine != (self.options.entry_id, self.options.incarnation):
@@ -132,7 +132,7 @@
         if flow is None:
             stray = self._claims.settle_stray(reply, now)
             return () if stray is None else self._to_leader(stray)
-        if deduplicate.key_of(flow.asked) != reply.key:
+        if deduplicate.key_of(flow.request) != reply.key:
             return ()
         return self.handle(holder.request_id, reply, now)
 
@@ -141,15 +141,15 @@
         self._releases.confirm((sender, released.ticket_id))
 
     def confirm_claim(self, recorded: claim.ClaimRecorded) -> None:
-        """Stop resending what became of a claim."""
+        """Stop resending the settlement of a claim."""
         self._claims.confirm(recorded)
 
-    def take_due(self, now: float) -> tuple[Any, ...]:
-        """Apply the timers that are due and resend what is not confirmed."""
+    def handle_due(self, now: float) -> tuple[Any, ...]:
+        """Run the timers that are due and resend unconfirmed messages."""
         actions: list[Any] = []
         while (request_id := self._timers.pop_due(now)) is not None:
             actions += self.handle(request_id, entry_flow.TimerDue(), now)
-        for pending in (*self._releases.take_due(now), *self._claims.take_due(now)):
+        for pending in (*self._releases.collect_due(now), *self._claims.collect_due(now)):
             actions += self._to_leader(pending.message, pending.to)
         return tuple(actions)
 
--- a/src/medlarfork/entry/entry_settings.py
+++ b/src/medlarfork/entry/entry_settings.py
@@ -1,4 +1,4 @@
-"""Define the settings file of ``medlar-entry``."""
+"""Settings file of ``medlar-entry``."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class UnprovenPolicy(enum.StrEnum):
-    """Say what an entry host does while it can't prove that its configuration is current.
+    """Policy of an entry host while its configuration is not proved current.
 
-    SERVE goes on with the last configuration it has: traffic survives the loss of control's
-    quorum, and a host that is cut off alone may act on an old configuration until it is healed.
-    REFUSE answers new requests with ``not_run`` and other addresses: no old configuration is
-    acted on, and the loss of control's quorum stops all new work.
+    SERVE continues with the last configuration: traffic survives the loss of control's quorum, but
+    a partitioned host may use an old configuration until the partition heals.
+    REFUSE answers new requests with ``not_run`` and the addresses of other hosts: no old
+    configuration is used, but the loss of control's quorum stops all new work.
     """
 
     SERVE = "serve"
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlAddress:
-    """Say where one control replica listens for links."""
+    """Link address of a control replica."""
 
     replica_id: str
     link_address: str
@@ -29,23 +29,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Hold the settings of one entry host.
+    """Settings of an entry host.
 
     Attributes:
-        entry_id: Stable identity; also the name of its link key.
-        http_host: IP number to listen on for callers and upstreams.
+        entry_id: Stable identity of the host; also the name of its link key.
+        http_host: IP address to listen on for callers and upstreams.
         http_port: TCP port for callers and upstreams; 0 lets the system choose.
         link_address: ``tcp://IP:PORT`` to listen on for other processes of the system.
-        data_centre: Where this host stands.
+        data_centre: Data centre of this host.
         controls: The control replicas.
         keys_folder: Folder of link keys (see ``medlarctl keygen``); empty for no authentication.
-        announce_key_sha256: Digests of the keys upstreams announce with; empty accepts any.
+        announce_key_sha256: Digests of the keys for announcements; empty accepts any upstream.
         operator_key_sha256: Digests of the keys for ``/v1/status`` and ``/v1/explain``.
-        unproven: What to do while the configuration can't be proved current.
-        proof_s: How long a heartbeat's answer proves the configuration current, in seconds.
+        unproven: Policy while the configuration is not proved current.
+        proof_s: How long an answered heartbeat proves the configuration current, in seconds.
         entries_lifetime_s: How long callers may keep the answer of ``/v1/entries``, in seconds.
-        drain_limit_s: How long a graceful stop may take before it cuts, in seconds.
-        request_limit: Requests in progress at once; more are refused.
+        drain_limit_s: Time limit of a graceful stop in seconds; then requests are cancelled.
+        request_limit: Maximum number of requests in progress; more are refused.
         log_level: Lowest level that is logged.
     """
 
--- a/src/medlarfork/entry/entry_status.py
+++ b/src/medlarfork/entry/entry_status.py
@@ -1,4 +1,4 @@
-"""Describe an entry host to operators."""
+"""Status of an entry host for operators."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamUse:
-    """Say how a pool that runs here uses an upstream.
+    """How a pool that runs here uses an upstream.
 
     Attributes:
-        ejected_for_s: How long the ejection still lasts, in seconds; None if there is none.
-        limit: Requests at once that the pool gives it now; never more than ``slots``.
-        slowness: Time per token relative to the median of its peers.
+        ejected_for_s: Remaining time of the ejection, in seconds; None if there is none.
+        limit: Current concurrency limit; never more than ``slots``.
+        slowness: Time per token relative to the median of the other upstreams.
     """
 
     health: pool_view.Health
@@ -41,12 +41,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """Describe one upstream that this host hears.
+    """Status of an upstream whose announcements this host receives.
 
     Attributes:
-        silent_s: How long ago it was last heard, in seconds.
+        silent_s: Time since its last announcement, in seconds.
         conflicts: Further services whose selectors match it.
-        use: How its pool uses it; None if the pool does not run on this host.
+        use: Its use by its pool; None if the pool does not run on this host.
     """
 
     upstream_id: str
@@ -60,15 +60,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """Describe one entry host.
+    """Status of an entry host.
 
     Attributes:
-        stage: Where a graceful stop stands; ``serving`` if there is none.
-        proof_age_s: How long ago the configuration was proved current; None if it never was.
-        leader_id: The control replica that is asked.
+        stage: Stage of a graceful stop; ``serving`` if there is none.
+        proof_age_s: Time since the configuration was proved current; None if it never was.
+        leader_id: The control replica that heartbeats go to.
         requests: Requests in progress.
-        queued: Those of them that wait for a slot.
-        claiming: Those of them that wait for a claim.
+        queued: Requests in progress that wait for a slot.
+        claiming: Requests in progress that wait for a claim.
         unconfirmed: Messages to control and owners whose receipt has not been confirmed.
     """
 
--- a/src/medlarfork/entry/entry_types.py
+++ b/src/medlarfork/entry/entry_types.py
@@ -1,11 +1,11 @@
-"""Define the events and actions of the entry host's node.
+"""Events and actions of the entry host's node.
 
-Besides these the node takes ``node.Started``, ``node.MessageReceived`` and ``node.TimeDue`` and
-returns ``node.Send`` and ``node.Wake``. Messages are those of ``ticket``, ``claim``,
+The node also handles ``node.Started``, ``node.MessageReceived`` and ``node.TimeDue`` and
+returns ``node.Send`` and ``node.Wake``. Its messages are defined in ``ticket``, ``claim``,
 ``heartbeat`` and ``UpstreamSeen``.
 
 The body of a caller's request and the bytes of its answer stay with the connection (module
-``entry_program``); the node sees the raw request once and then only what decisions need.
+``entry_program``). The node gets the raw request once, and then only the inputs of its decisions.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RawRequest:
-    """Hold a caller's request as it came off the connection.
+    """A caller's request, as received.
 
     Attributes:
-        request_id: Made by the entry host as a UUIDv7; unique over connections, hosts and
-            restarts. It also serves as the idempotency key of a caller that gave none.
+        request_id: UUIDv7 made by the entry host; unique across connections, hosts and restarts.
+            It is also the idempotency key of a request that carries none.
         method: HTTP method in upper case.
         path: Path without the query.
         query: Query string without the question mark.
         headers: Header values by lower-case name.
-        body: The whole body.
+        body: The complete body.
     """
 
     request_id: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """Event: a caller's request has been read whole."""
+    """Event: a caller's request has been received completely."""
 
     raw: RawRequest
 
@@ -60,12 +60,12 @@
 
 
 class AttemptResult(enum.StrEnum):
-    """Say how an attempt at an upstream ended.
+    """Result of an attempt at an upstream.
 
-    COMPLETE: the upstream's own end was seen; the whole answer is with the connection.
+    COMPLETE: the upstream ended its answer; the connection holds the complete answer.
     REFUSED: the upstream refused before executing (429, or ``Medlar-Outcome: not_run``).
-    NOT_SENT: no byte of the request left, as when the connection was refused.
-    BROKEN: it failed after bytes had left: cut, reset, malformed or timed out.
+    NOT_SENT: no byte of the request was sent, for example because the connection was refused.
+    BROKEN: it failed after bytes were sent: cancelled, reset, malformed or timed out.
     """
 
     COMPLETE = "complete"
@@ -76,18 +76,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Event: an attempt is over; follows every ``Dispatch``, also a cancelled one, exactly once.
+    """Event: an attempt has ended; follows every ``Dispatch``, also a cancelled one, exactly once.
 
     Attributes:
         attempt_id: The attempt.
-        result: How it ended.
-        status: The upstream's HTTP status; 0 if none was seen.
-        tokens: Output tokens of the whole answer so far, over all attempts of the request.
+        result: Result of the attempt.
+        status: The upstream's HTTP status; 0 if none was received.
+        tokens: Output tokens of the answer so far, over all attempts of the request.
         relayed: Whether any byte of an answer has reached the caller.
-        resumable: Whether the stream so far carried proof of its offset, so that it can resume.
-        answer: For a complete, not-repeatable request: what to keep for duplicates.
-        error: What went wrong, in plain words; empty if nothing did.
-        pause_s: How long the upstream, which refused it, wants no further request, in seconds.
+        resumable: Whether the stream carried its offset so far, so that it can be resumed.
+        answer: The answer to store for duplicates of a complete, not-repeatable request.
+        error: Description of the error; empty if there was none.
+        pause_s: Backoff (Retry-After) of an upstream that refused the request, in seconds.
     """
 
     attempt_id: str
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnnouncementReceived:
-    """Event: an upstream announced itself here over HTTP; ``AnnouncementAnswered`` follows."""
+    """Event: an upstream sent an announcement over HTTP; ``AnnouncementAnswered`` follows."""
 
     call_id: str
     announcement: upstream.Announcement
@@ -111,14 +111,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Event: the process was told to stop gracefully (SIGTERM)."""
+    """Event: the process received a request to stop gracefully (SIGTERM)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamSeen:
-    """Message between entry hosts: an announcement passed on to a pool's owner or standby.
+    """Message between entry hosts: an announcement forwarded to a pool's owner or standby.
 
-    ``age_s`` is how long ago it was heard, so that passing it on does not prolong the lease.
+    ``age_s`` is the time since it was received, so that forwarding does not prolong the lease.
     """
 
     announcement: upstream.Announcement
@@ -130,17 +130,17 @@
     """Action: send the request to an upstream and report ``AttemptEnded`` once.
 
     Attributes:
-        request_id: The request; its body and caller are with the connection.
-        attempt_id: Unique; bytes of any other attempt are discarded.
+        request_id: The request; its body and caller belong to the connection.
+        attempt_id: Unique id; bytes of any other attempt are discarded.
         upstream_id: The upstream.
         address: ``http://IP:PORT``.
-        resume_offset: Tokens the caller has already; the upstream must prove it goes on there.
-        timeout_s: When to give the attempt up, in seconds from now.
-        assemble: True to ask for a stream although the caller wants a whole answer, so that the
-            answer can be paused and resumed.
-        key: Idempotency key to pass on to the upstream and to return to the caller; empty for a
+        resume_offset: Tokens that the caller already has; the upstream must confirm this offset.
+        timeout_s: Timeout of the attempt, in seconds.
+        assemble: True to request a stream although the caller wants a single answer, so that the
+            answer can be preempted and resumed.
+        key: Idempotency key to forward to the upstream and to return to the caller; empty for a
             repeatable request.
-        tier: Priority to tell the upstream.
+        tier: Priority to send to the upstream.
     """
 
     request_id: str
@@ -156,16 +156,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Action: cut the attempt's upstream connection; nothing it still sends is relayed."""
+    """Action: close the attempt's upstream connection; bytes that still arrive are dropped."""
 
     attempt_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Action: answer the caller from here; nothing has been relayed to it yet.
+    """Action: send the caller an answer of the entry host; nothing has been relayed to it yet.
 
-    ``headers`` holds what goes beyond content type, request id and outcome.
+    ``headers`` holds the headers other than content type, request id and outcome.
     """
 
     request_id: str
@@ -178,7 +178,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinishRelay:
-    """Action: end a relayed answer: whole if ``complete``, else cut so that it can't look whole."""
+    """Action: end a relayed answer; if it is not ``complete``, abort it so that this shows."""
 
     request_id: str
     complete: bool
@@ -194,7 +194,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WastedTokens:
-    """Count tokens computed and not delivered, by cause."""
+    """Number of tokens computed and not delivered, with the cause."""
 
     cause: str
     tokens: int
@@ -202,17 +202,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """Action: count and log one finished request; the last filter of the line.
+    """Action: count and log a finished request; the last step of the request pipeline.
 
     Attributes:
-        status: HTTP status given to the caller; 499 if it had gone.
+        status: HTTP status sent to the caller; 499 if the caller had closed its connection.
         code: Error code; empty for a completed answer.
-        queued_s: From arrival to the first dispatch.
-        first_token_s: From arrival to the first byte; None if there was none.
-        whole_s: From arrival to the end.
+        queued_s: Time from arrival to the first dispatch.
+        first_token_s: Time from arrival to the first byte; None if there was none.
+        whole_s: Time from arrival to the end.
         in_target: Whether the class's targets were met; None if it has none.
-        attempts: Dispatches made.
-        revision: Configuration revision it was decided under.
+        attempts: Number of dispatches.
+        revision: Configuration revision that the request was classified under.
     """
 
     request_id: str
--- a/src/medlarfork/entry/explain.py
+++ b/src/medlarfork/entry/explain.py
@@ -1,4 +1,4 @@
-"""Explain where a request would go, and why."""
+"""Explanation of where a request would be routed, and why."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """Say whether an upstream is a candidate, and why.
+    """Whether an upstream is a candidate for the request, and why.
 
     Attributes:
         selected: Whether it may get the request now.
-        reason: Why, in plain words.
+        reason: The reason, as a sentence for people.
     """
 
     upstream_id: str
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolExplanation:
-    """Describe one pool of the service.
+    """A pool of the service and its candidates.
 
     Attributes:
         owner: The entry host that schedules it.
         standby: The entry host that takes over from the owner; empty if there is none.
-        known_here: Whether this host hears the pool's announcements; if not, ask the owner.
+        known_here: Whether this host receives the pool's announcements; if not, query the owner.
     """
 
     pool: str
@@ -48,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explanation:
-    """Explain one request.
+    """Explanation of the routing of a request.
 
     Attributes:
         request: The request as it was classified.
         request_class: Its class, with targets and deadline.
         classes: For each class, whether its selector matches and why not.
         routes: The same for each route.
-        revision: The configuration revision this rests on.
+        revision: The configuration revision that the explanation is based on.
     """
 
     request: request.Request
@@ -71,7 +71,7 @@
     revision: int,
     account: configuration.Account,
     parsed: classify.ParsedRequest,
-    owned: ownership.Ownership,
+    pool_ownership: ownership.Ownership,
     directory: pool_directory.PoolDirectory,
     views: _Views,
     now: float,
@@ -79,21 +79,21 @@
     """Explain a request that has been parsed and identified.
 
     Args:
-        views: How the pools that run here see their upstreams, by pool and upstream id.
+        views: Upstream views of the pools that run here, by pool and upstream id.
 
     Raises:
-        errors.MedlarError: It would be refused before it is classified.
+        errors.MedlarError: The request would be refused before it is classified.
     """
-    asked = classify.assign(declared, account, parsed, now=now)
+    incoming = classify.assign(declared, account, parsed, now=now)
     routed = classify.route_labels(declared, account, parsed)
     return Explanation(
-        asked,
-        declared.class_by_name[asked.class_name],
-        classify.explain_class(declared, asked.labels),
+        incoming,
+        declared.class_by_name[incoming.class_name],
+        classify.explain_class(declared, incoming.labels),
         classify.explain_route(declared, routed),
         tuple(
-            _pool(pool, declared, owned, directory, views, now)
-            for pool in owned.pools(asked.service)
+            _pool(pool, declared, pool_ownership, directory, views, now)
+            for pool in pool_ownership.pools(incoming.service)
         ),
         revision,
     )
@@ -102,18 +102,18 @@
 def _pool(
     pool: str,
     declared: configuration.Configuration,
-    owned: ownership.Ownership,
+    pool_ownership: ownership.Ownership,
     directory: pool_directory.PoolDirectory,
     views: _Views,
     now: float,
 ) -> PoolExplanation:
-    owner, *others = owned.serving_hosts(pool)
-    leases = directory.leases if owned.serves(pool) else ()
+    owner, *others = pool_ownership.serving_hosts(pool)
+    leases = directory.leases if pool_ownership.serves(pool) else ()
     return PoolExplanation(
         pool,
         owner,
         others[0] if others else "",
-        owned.serves(pool),
+        pool_ownership.serves(pool),
         tuple(_candidate(lease, pool, declared, views, now) for lease in leases),
     )
 
@@ -142,12 +142,12 @@
     else:
         selected = True
         reason = f"its labels match the selector of {pool.rpartition('/')[0]}"
-        reason += "" if view is None else _note(view, now)
+        reason += "" if view is None else _restriction(view, now)
     return Candidate(announcement.upstream_id, announcement.address, selected, reason)
 
 
-def _note(view: pool_view.UpstreamView, now: float) -> str:
-    """Return what holds a selected upstream back, if anything does."""
+def _restriction(view: pool_view.UpstreamView, now: float) -> str:
+    """Return what limits a selected upstream; an empty string if nothing does."""
     match view.health(now):
         case pool_view.Health.EJECTED:
             return "; it is ejected, but too few others are left"
--- a/src/medlarfork/entry/flow_context.py
+++ b/src/medlarfork/entry/flow_context.py
@@ -1,4 +1,4 @@
-"""Define what a request's flow has to know of the entry host around it."""
+"""Interface of the entry host that a request's flow uses."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class FlowContext(Protocol):
-    """Tell a request what it has to know of the entry host around it."""
+    """What a flow reads from its entry host."""
 
     options: entry_options.EntryNodeOptions
 
     def choose_pool(self, service: str, now: float) -> str:
-        """Return one of the service's pools, or an empty text if it has none any more."""
+        """Return one of the service's pools; an empty string if it has none any more."""
         ...
 
     def owners(self, pool: str) -> tuple[str, ...]:
-        """Return the entry hosts to ask, best first; none if the pool no longer exists."""
+        """Return the entry hosts to send tickets to, owner first; none if the pool is gone."""
         ...
 
     def spend_retry(self, service: str) -> bool:
-        """Take one retry of the service's budget."""
+        """Take one retry from the service's budget; return whether there was one."""
         ...
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether control can't have given this host up as lost."""
+        """Return whether this host's lease is certain to be valid at control."""
         ...
--- a/src/medlarfork/entry/flow_machine.py
+++ b/src/medlarfork/entry/flow_machine.py
@@ -1,4 +1,4 @@
-"""Take one request from its claim to its final answer."""
+"""State machine of a request, from its claim to its final answer."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 class FlowMachine:
-    """Apply events to flows; keeps nothing of its own."""
+    """Applies events to flows; holds no state of its own."""
 
     def __init__(self, context: flow_context.FlowContext) -> None:
-        """Work within the surroundings."""
+        """Create the machine for the flows of one entry host."""
         self._context = context
         options = context.options
         self._entry_id = options.entry_id
         self._incarnation = options.incarnation
 
     def start(self, flow: entry_flow.Flow, now: float) -> entry_flow.Step:
-        """Claim a not-repeatable request first; queue any other."""
-        if flow.asked.repeatable:
+        """Start a flow: request the claim if it is not repeatable, else queue it."""
+        if flow.request.repeatable:
             return _flow_wait.queue(flow, self._context, self._holder(flow), now)
         flow = dataclasses.replace(flow, claimed=True)
-        return _flow_claim.ask(flow, self._context, self._holder(flow), now)
+        return _flow_claim.request_claim(flow, self._context, self._holder(flow), now)
 
     def handle(self, flow: entry_flow.Flow, event: Any, now: float) -> entry_flow.Step:
-        """Apply one event; events that no longer concern the request change nothing."""
+        """Apply an event; an event that no longer applies to the request is ignored."""
         holder = self._holder(flow)
         match flow.state:
             case entry_flow.Claiming() as state:
@@ -47,4 +47,4 @@
                 return _flow_stop.handle(flow, state, event, self._context, holder, now)
 
     def _holder(self, flow: entry_flow.Flow) -> claim.Holder:
-        return claim.Holder(self._entry_id, self._incarnation, flow.asked.request_id)
+        return claim.Holder(self._entry_id, self._incarnation, flow.request.request_id)
--- a/src/medlarfork/entry/inventory_reporter.py
+++ b/src/medlarfork/entry/inventory_reporter.py
@@ -1,7 +1,7 @@
-"""Report the upstreams whose pools an entry host owns to control, when something changes.
+"""Reporter of the upstreams whose pools an entry host owns, to control.
 
-``digest`` covers what has been reported, so that a leader that lacks a report finds out from the
-next heartbeat and asks for all of them; see ``inventory``.
+``digest`` covers everything reported so far. A leader that lacks a report detects it by the digest
+of the next heartbeat and requests a full resend; see ``inventory``.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class InventoryReporter:
-    """Turn announcements into as few notices as possible.
+    """Turns announcements into notices, only for changes that control needs.
 
     Attributes:
-        digest: Digest of all notices that have been taken.
+        digest: Digest of all notices that have been reported.
     """
 
     def __init__(self, entry_id: str) -> None:
@@ -26,10 +26,10 @@
         self._entry_id = entry_id
         self._reported_by_id: dict[str, inventory.UpstreamNotice] = {}
         self._changed_by_id: dict[str, inventory.UpstreamNotice] = {}
-        self._resends = False
+        self._resend_pending = False
 
     def observe(self, announcement: upstream.Announcement) -> None:
-        """Take an announcement of an upstream whose pool is owned here."""
+        """Record an announcement of an upstream whose pool is owned here."""
         upstream_id = announcement.upstream_id
         if announcement.state is upstream.UpstreamState.LEAVING:
             self.remove(upstream_id)
@@ -48,7 +48,7 @@
             self._changed_by_id[upstream_id] = dataclasses.replace(reported, gone=True)
 
     def retain_only(self, announcements: Iterable[upstream.Announcement]) -> None:
-        """Report exactly these upstreams from now on, after pools have changed hands."""
+        """Report exactly these upstreams from now on, after a change of pool ownership."""
         announcement_by_id = {each.upstream_id: each for each in announcements}
         for upstream_id in (*self._reported_by_id, *self._changed_by_id):
             if upstream_id not in announcement_by_id:
@@ -57,31 +57,31 @@
             self.observe(announcement)
 
     def resend(self) -> None:
-        """Report everything anew the next time: the leader lacks something."""
-        self._resends = True
+        """Make the next report a full one, because the leader lacks a report."""
+        self._resend_pending = True
 
     def pop_reports(self) -> tuple[inventory.InventoryReport, ...]:
-        """Return what control has not been told yet; the caller sends it at once, in order."""
-        if not self._changed_by_id and not self._resends:
+        """Return the pending reports and mark them as reported; the caller sends them in order."""
+        if not self._changed_by_id and not self._resend_pending:
             return ()
         changed = tuple(self._changed_by_id.values())
         self._changed_by_id.clear()
         for notice in changed:
             self._apply(notice)
-        notices = tuple(self._reported_by_id.values()) if self._resends else changed
-        whole, self._resends = self._resends, False
-        return tuple(self._split(notices, whole=whole))
+        notices = tuple(self._reported_by_id.values()) if self._resend_pending else changed
+        full, self._resend_pending = self._resend_pending, False
+        return tuple(self._split(notices, full=full))
 
     def _split(
-        self, notices: tuple[inventory.UpstreamNotice, ...], *, whole: bool
+        self, notices: tuple[inventory.UpstreamNotice, ...], *, full: bool
     ) -> Iterator[inventory.InventoryReport]:
-        # A whole resend of nothing is a message too: the leader knows upstreams that are gone.
+        # An empty full resend is sent, too: the leader may list upstreams that are gone.
         for start in range(0, max(len(notices), 1), inventory.MAX_NOTICES):
             part = notices[start : start + inventory.MAX_NOTICES]
-            yield inventory.InventoryReport(self._entry_id, part, whole and start == 0)
+            yield inventory.InventoryReport(self._entry_id, part, full and start == 0)
 
     def _has_room(self, upstream_id: str) -> bool:
-        # The leader would refuse further ones, and the digests would never agree.
+        # The leader would reject further ones, and the digests would never match.
         if upstream_id in self._reported_by_id or upstream_id in self._changed_by_id:
             return True
         held = len(self._reported_by_id) + len(self._changed_by_id)
