--- a/src/medlarfork/entry/pool_directory.py
+++ b/src/medlarfork/entry/pool_directory.py
@@ -1,7 +1,7 @@
-"""Keep the upstreams whose pools this entry host owns or stands by for, under leases.
+"""Directory of the upstreams whose pools this entry host owns or is the standby of, with leases.
 
-Every entry host takes announcements and passes them on to the owner and the standby of the
-upstream's pool; only those two keep them.
+Every entry host accepts announcements and forwards them to the owner and the standby of the
+upstream's pool; only those two store them.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from medlarfork.pool import ownership, pool_events
 
 _MAX_TRACKED = 20_000
-"""Upstreams whose last announcement's number is remembered; the longest silent go first."""
+"""Maximum number of upstreams whose last announcement is tracked; the oldest is evicted first."""
 
 _MAX_ADDRESSES = 6
-"""Entry hosts named to an upstream."""
+"""Maximum number of entry hosts listed in the reply to an announcement."""
 
 _PERIODS_PER_LEASE = 3
-"""Announcements that fit into one lease, so that two of them may be lost."""
+"""Announcement periods per lease: a lease survives the loss of two announcements."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ToPool:
-    """Action: hand an event to a pool, if it runs here."""
+    """Action: pass an event to a pool, if it runs here."""
 
     pool: str
     event: pool_events.UpstreamUp | pool_events.UpstreamChanged | pool_events.UpstreamGone
@@ -36,24 +36,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLease:
-    """Hold one upstream in use.
+    """Lease of an upstream in use.
 
     Attributes:
-        announcement: Its newest announcement.
-        heard_at: When that was heard.
-        pool: The pool it belongs to.
-        conflicts: Further services whose selectors match it; the first declared one has it.
+        announcement: The upstream's newest announcement.
+        announced_at: When that announcement was received.
+        pool: The pool that the upstream belongs to.
+        conflicts: Further services whose selectors match; the first one declared gets the upstream.
     """
 
     announcement: upstream.Announcement
-    heard_at: float
+    announced_at: float
     pool: str
     conflicts: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _LastHeard:
-    """Remember the newest announcement of an upstream, also after its lease."""
+class _LastAnnouncement:
+    """Order of an upstream's newest announcement; kept after its lease ends."""
 
     incarnation: int
     sequence: int
@@ -61,15 +61,17 @@
 
 
 class PoolDirectory:
-    """Order announcements, keep leases and tell pools what changes."""
+    """Orders announcements, keeps leases and notifies pools of changes."""
 
     def __init__(self, entry_id: str) -> None:
         """Start empty and without a configuration."""
         self._entry_id = entry_id
         self._declared = configuration.Configuration()
-        self._owned = ownership.Ownership(entry_id, self._declared, member.View())
+        self._pool_ownership = ownership.Ownership(entry_id, self._declared, member.View())
         self._lease_by_id: dict[str, UpstreamLease] = {}
-        self._last_by_id: collections.OrderedDict[str, _LastHeard] = collections.OrderedDict()
+        self._last_by_id: collections.OrderedDict[str, _LastAnnouncement] = (
+            collections.OrderedDict()
+        )
         self._timers = _timer_heap.TimerHeap[str]()
 
     def __len__(self) -> int:
@@ -90,45 +92,51 @@
         return self._timers.earliest()
 
     def apply(
-        self, declared: configuration.Configuration, owned: ownership.Ownership, now: float
+        self, declared: configuration.Configuration, pool_ownership: ownership.Ownership, now: float
     ) -> tuple[Any, ...]:
-        """Put a configuration and a view in force: move upstreams, and tell their new owners."""
-        before, self._owned = self._owned, owned
+        """Apply a configuration and a view: move upstreams and notify their new owners."""
+        before, self._pool_ownership = self._pool_ownership, pool_ownership
         self._declared = declared
         actions: list[Any] = []
         for upstream_id, lease in tuple(self._lease_by_id.items()):
             pool, conflicts = self._match(lease.announcement)
-            if pool != lease.pool or conflicts != lease.conflicts or not owned.serves(pool):
-                actions += self._placed(lease.announcement, lease.heard_at, now)
+            if (
+                pool != lease.pool
+                or conflicts != lease.conflicts
+                or not pool_ownership.serves(pool)
+            ):
+                actions += self._update_lease(lease.announcement, lease.announced_at, now)
             known = before.serving_hosts(lease.pool) if pool == lease.pool else ()
-            new = [item for item in owned.serving_hosts(pool) if item not in known]
-            actions += self._pass_on(lease.announcement, new, now - lease.heard_at)
+            new = [item for item in pool_ownership.serving_hosts(pool) if item not in known]
+            actions += self._forward(lease.announcement, new, now - lease.announced_at)
             if upstream_id in self._lease_by_id:
-                self._timers.set(upstream_id, lease.heard_at + declared.engine_lease_s)
+                self._timers.set(upstream_id, lease.announced_at + declared.engine_lease_s)
         return tuple(actions)
 
     def handle_announcement(
         self, announcement: upstream.Announcement, now: float
     ) -> tuple[Any, ...]:
-        """Take an announcement that an upstream made here."""
-        if not self._is_news(announcement):
+        """Handle an announcement that an upstream sent to this host."""
+        if not self._record_if_newer(announcement):
             return ()
         pool, _ = self._match(announcement)
-        serving_hosts = self._owned.serving_hosts(pool)
+        serving_hosts = self._pool_ownership.serving_hosts(pool)
         return (
-            *self._keep(announcement, now, now),
-            *self._pass_on(announcement, serving_hosts, 0.0),
+            *self._store(announcement, now, now),
+            *self._forward(announcement, serving_hosts, 0.0),
         )
 
     def handle_forwarded(self, message: entry_types.UpstreamSeen, now: float) -> tuple[Any, ...]:
-        """Take an announcement that another entry host passed on."""
+        """Handle an announcement that another entry host forwarded."""
         age_s = max(message.age_s, 0.0)
-        if age_s >= self._declared.engine_lease_s or not self._is_news(message.announcement):
+        if age_s >= self._declared.engine_lease_s or not self._record_if_newer(
+            message.announcement
+        ):
             return ()
-        return tuple(self._keep(message.announcement, now - age_s, now))
+        return tuple(self._store(message.announcement, now - age_s, now))
 
     def expire(self, now: float) -> tuple[Any, ...]:
-        """Drop the upstreams that have been silent for the lease."""
+        """Remove the upstreams whose lease has expired."""
         actions: list[Any] = []
         while (upstream_id := self._timers.pop_due(now)) is not None:
             actions += self._drop(upstream_id)
@@ -137,16 +145,19 @@
     def reply(
         self, announcement: upstream.Announcement, view: member.View
     ) -> upstream.AnnouncementReply:
-        """Return where the upstream should announce itself next, and how often."""
+        """Return where the upstream should send its next announcements, and how often."""
         pool, _ = self._match(announcement)
-        first = self._owned.owners(pool)
+        first = self._pool_ownership.owners(pool)
         others = (item.entry_id for item in view.members if item.entry_id not in first)
         addresses = tuple(_addresses((*first, *others), view))[:_MAX_ADDRESSES]
         lease_s = self._declared.engine_lease_s
         return upstream.AnnouncementReply(addresses, lease_s / _PERIODS_PER_LEASE, lease_s)
 
-    def _is_news(self, announcement: upstream.Announcement) -> bool:
-        """Remember the announcement, unless a newer one or its incarnation's end is known."""
+    def _record_if_newer(self, announcement: upstream.Announcement) -> bool:
+        """Record the announcement and return True, unless it is stale.
+
+        It is stale if a newer one is known, or if its incarnation has left.
+        """
         last = self._last_by_id.get(announcement.upstream_id)
         leaving = announcement.state is upstream.UpstreamState.LEAVING
         left = leaving
@@ -157,7 +168,7 @@
                 if announcement.sequence <= last.sequence or (last.left and not leaving):
                     return False
                 left = left or last.left
-        self._last_by_id[announcement.upstream_id] = _LastHeard(
+        self._last_by_id[announcement.upstream_id] = _LastAnnouncement(
             announcement.incarnation, announcement.sequence, left
         )
         self._last_by_id.move_to_end(announcement.upstream_id)
@@ -165,30 +176,30 @@
             self._last_by_id.popitem(last=False)
         return True
 
-    def _keep(
-        self, announcement: upstream.Announcement, heard_at: float, now: float
+    def _store(
+        self, announcement: upstream.Announcement, announced_at: float, now: float
     ) -> Iterator[Any]:
-        yield from self._placed(announcement, heard_at, now)
+        yield from self._update_lease(announcement, announced_at, now)
         if announcement.upstream_id in self._lease_by_id:
             lease_s = self._declared.engine_lease_s
-            self._timers.set(announcement.upstream_id, heard_at + lease_s)
+            self._timers.set(announcement.upstream_id, announced_at + lease_s)
 
-    def _placed(
-        self, announcement: upstream.Announcement, heard_at: float, now: float
+    def _update_lease(
+        self, announcement: upstream.Announcement, announced_at: float, now: float
     ) -> list[ToPool]:
-        """Note where the upstream belongs now, and return what its old and new pool hear."""
+        """Update the upstream's lease and return the events for its old and new pool."""
         upstream_id = announcement.upstream_id
         pool, conflicts = self._match(announcement)
         old = self._lease_by_id.get(upstream_id)
-        if not self._owned.serves(pool):
+        if not self._pool_ownership.serves(pool):
             return self._drop(upstream_id)
         if old is None and announcement.state is upstream.UpstreamState.LEAVING:
             return []
         moved = [] if old is None or old.pool == pool else self._drop(upstream_id)
-        self._lease_by_id[upstream_id] = UpstreamLease(announcement, heard_at, pool, conflicts)
+        self._lease_by_id[upstream_id] = UpstreamLease(announcement, announced_at, pool, conflicts)
         if old is not None and old.pool == pool:
-            return [ToPool(pool, pool_events.UpstreamChanged(announcement, now - heard_at))]
-        return [*moved, ToPool(pool, pool_events.UpstreamUp(announcement, now - heard_at))]
+            return [ToPool(pool, pool_events.UpstreamChanged(announcement, now - announced_at))]
+        return [*moved, ToPool(pool, pool_events.UpstreamUp(announcement, now - announced_at))]
 
     def _drop(self, upstream_id: str) -> list[ToPool]:
         lease = self._lease_by_id.pop(upstream_id, None)
@@ -197,7 +208,7 @@
             return []
         return [ToPool(lease.pool, pool_events.UpstreamGone(upstream_id))]
 
-    def _pass_on(
+    def _forward(
         self, announcement: upstream.Announcement, serving_hosts: Iterable[str], age_s: float
     ) -> Iterator[node.Send]:
         for entry_id in serving_hosts:
@@ -205,7 +216,10 @@
                 yield node.Send(entry_id, entry_types.UpstreamSeen(announcement, age_s))
 
     def _match(self, announcement: upstream.Announcement) -> tuple[str, tuple[str, ...]]:
-        """Return the upstream's pool, empty if no service selects it, and other such services."""
+        """Return the upstream's pool and the conflicting services.
+
+        The pool is empty if no service selects the upstream.
+        """
         declared = self._declared
         selecting = [
             service
--- a/src/medlarfork/entry/telemetry.py
+++ b/src/medlarfork/entry/telemetry.py
@@ -1,4 +1,4 @@
-"""Count what an entry host does, and render it for Prometheus."""
+"""Metrics of an entry host, rendered for Prometheus."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from medlarfork.metrics import sdk_metrics, tally
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Content type of what ``Telemetry.render`` returns."""
+"""Content type of the text that ``Telemetry.render`` returns."""
 
 _MAX_HISTOGRAM_SERIES = 4096
-"""Pairs of account and class with histograms of their own; further ones share one."""
+"""Maximum number of account and class pairs with their own histogram; further ones share one."""
 
 _MAX_COUNTER_SERIES = 16384
-"""Label sets of a counter that are counted apart; further ones share one."""
+"""Maximum number of label sets of a counter; further ones share one."""
 
 NO_CODE = "none"
 """Label value of requests that ended without an error."""
 
 
 class Gauge(enum.StrEnum):
-    """Name the values that are read when the metrics are rendered."""
+    """Gauges, which are read when the metrics are rendered."""
 
     QUEUE_LENGTH = "medlar_queue_length"
     UPSTREAMS = "medlar_upstreams"
@@ -58,24 +58,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GaugeValue:
-    """Hold one value of a gauge."""
+    """A value of a gauge, with its labels."""
 
     value: float
     labels: dict[str, str] = dataclasses.field(default_factory=dict)
 
 
 ReadGauge = Callable[[], Iterable[GaugeValue]]
-"""Returns the present values of a gauge."""
+"""Returns the current values of a gauge."""
 
 
 _Callback = Callable[[metrics_api.CallbackOptions], Iterable[metrics_api.Observation]]
 
 
 class Telemetry:
-    """Keep the metrics of one process; nothing is shared with other instances."""
+    """The metrics of a process; instances share no state."""
 
     def __init__(self) -> None:
-        """Make the instruments."""
+        """Create the metrics; instruments are created by ``start``."""
         self._registry = prometheus_client.CollectorRegistry()
         self._reader = prometheus.PrometheusMetricReader(
             disable_target_info=True,
@@ -93,7 +93,7 @@
         self._rendering = curio.Lock()
 
     def observe(self, gauge: Gauge, read: ReadGauge) -> None:
-        """Read a gauge through ``read``; call this before ``start``."""
+        """Register ``read`` as the source of a gauge; call this before ``start``."""
         self._read_by_gauge[gauge] = read
 
     def start(self) -> None:
@@ -152,14 +152,17 @@
     def render(self) -> bytes:
         """Return all metrics in Prometheus' text format.
 
-        It takes about a second for a thousand pairs of account and class; nothing else runs
+        It takes about a second for a thousand pairs of account and class, and blocks other tasks
         meanwhile.
         """
         self._read_gauges()
         return prometheus_client.generate_latest(self._registry)
 
     async def render_in_thread(self) -> bytes:
-        """Return the same as ``render``, while other tasks go on; gauges are read here."""
+        """Return the same as ``render`` without blocking other tasks.
+
+        The gauges are read in the calling task, and the text is rendered in a thread.
+        """
         async with self._rendering:
             self._read_gauges()
             return await curio.run_in_thread(prometheus_client.generate_latest, self._registry)
--- a/src/medlarfork/entry/upstream_attempt.py
+++ b/src/medlarfork/entry/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Carry out one attempt: send the request to an upstream and bring its answer to the caller."""
+"""An attempt: sends the request to an upstream and relays its answer to the caller."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 _log = logging.getLogger(__name__)
 
 MAX_BUFFERED_BYTES = 64 << 10
-"""Answers up to this size go out in one piece with their length; longer ones as they come."""
+"""Answers up to this size are sent in one piece with their length; longer ones are streamed."""
 
 MAX_STORED_BYTES = 16 << 10
-"""Largest answer that is kept for duplicates of a not-repeatable request, in bytes."""
+"""Maximum size of an answer stored for duplicates of a not-repeatable request, in bytes."""
 
 _TOO_MANY_REQUESTS = 429
 
 
 class UpstreamAttempt:
-    """Run one attempt to its end and report it exactly once, also when it is cancelled."""
+    """Runs an attempt and reports its end exactly once, also when it is cancelled."""
 
     def __init__(
         self,
         dispatch: entry_types.Dispatch,
-        held: caller_session.CallerSession,
+        session: caller_session.CallerSession,
         client: http_client.HttpClient,
         post: Callable[[Any], Awaitable[None]],
     ) -> None:
-        """Prepare an attempt; ``post`` hands events to the node."""
+        """Create an attempt; ``post`` sends events to the node."""
         self._dispatch = dispatch
-        self._held = held
+        self._session = session
         self._client = client
         self._post = post
         self._status = 0
@@ -45,14 +45,14 @@
 
     async def run(self) -> None:
         """Run the attempt."""
-        if self._held.is_cancelled(self._dispatch.attempt_id):
-            # It was cancelled before this task had its turn, so nothing has left for the upstream.
+        if self._session.is_cancelled(self._dispatch.attempt_id):
+            # It was cancelled before this task first ran, so nothing was sent to the upstream.
             await self._post(self._ended(entry_types.AttemptResult.NOT_SENT, "cancelled"))
             return
         try:
             ended = await self._exchange()
         except errors.CallerDisconnectedError:
-            await self._held.enqueue_action(entry_types.CallerGone(self._dispatch.request_id))
+            await self._session.enqueue_action(entry_types.CallerGone(self._dispatch.request_id))
             await self._wait_for_cancel()
             return
         except errors.RequestNotSentError as error:
@@ -60,7 +60,7 @@
         except errors.MedlarError as error:
             ended = self._ended(entry_types.AttemptResult.BROKEN, str(error))
         except Exception as error:
-            # A mistake of ours must not leave the slot and the caller waiting for ever.
+            # A bug in this process must not leave the slot occupied and the caller waiting.
             logs.event(_log, "attempt_failed", severity=logging.ERROR, cause=error)
             ended = self._ended(entry_types.AttemptResult.BROKEN, type(error).__name__)
         except curio.CancelledError:
@@ -69,21 +69,21 @@
         await self._post(ended)
 
     async def _wait_for_cancel(self) -> None:
-        """Wait until the node, told of the caller's leaving, cancels this attempt."""
+        """Wait until the node has handled ``CallerGone`` and cancels this attempt."""
         try:
             await curio.sleep(self._dispatch.timeout_s)
         finally:
             await self._post(self._ended(entry_types.AttemptResult.BROKEN, "the caller has gone"))
 
     async def _exchange(self) -> entry_types.AttemptEnded:
-        """Exchange request and answer; how the attempt ended is the result."""
-        asked = outgoing.build(self._held.raw, self._dispatch)
+        """Send the request, relay the answer and return how the attempt ended."""
+        outgoing_request = outgoing.build(self._session.raw, self._dispatch)
         response = await self._client.request(
             self._dispatch.address,
-            asked.method,
-            asked.target,
-            asked.headers,
-            asked.body,
+            outgoing_request.method,
+            outgoing_request.target,
+            outgoing_request.headers,
+            outgoing_request.body,
             timeout_s=self._dispatch.timeout_s,
         )
         try:
@@ -102,34 +102,34 @@
         return self._ended(entry_types.AttemptResult.COMPLETE, "", answer=self._stored())
 
     async def _relay(self, response: http_client.Response) -> None:
-        """Bring the answer's body to the caller."""
-        held = self._held
+        """Relay the answer's body to the caller."""
+        session = self._session
         attempt_id = self._dispatch.attempt_id
-        held.start_response(self._dispatch, response.status, response.headers)
+        session.start_response(self._dispatch, response.status, response.headers)
         streams = response.headers.get("content-type", "").startswith(sse.MEDIA_TYPE)
         at_once = streams and not self._dispatch.assemble
         while chunk := await response.next_chunk():
             if not at_once:
-                held.hold(attempt_id, chunk)
-                at_once = held.held_bytes > MAX_BUFFERED_BYTES
+                session.buffer(attempt_id, chunk)
+                at_once = session.buffered_bytes > MAX_BUFFERED_BYTES
                 chunk = b""
-            if at_once and await held.forward(attempt_id, chunk):
-                await self._tell_started()
-        held.check_end()
+            if at_once and await session.forward(attempt_id, chunk):
+                await self._report_started()
+        session.check_complete()
 
-    async def _tell_started(self) -> None:
-        """Report the first byte that has reached the caller; what is held has not."""
+    async def _report_started(self) -> None:
+        """Report the first byte sent to the caller; buffered bytes don't count."""
         if not self._started:
             self._started = True
             await self._post(entry_types.AttemptStarted(self._dispatch.attempt_id))
 
     def _stored(self) -> claim.StoredAnswer | None:
-        """Return what to keep of a not-repeatable request's answer."""
+        """Return the answer to store for duplicates; None for a repeatable request."""
         if not self._dispatch.key:
             return None
-        body = b"" if self._held.relayed else self._held.whole()
-        kept = not self._held.relayed and len(body) <= MAX_STORED_BYTES
-        content_type = self._held.content_type
+        body = b"" if self._session.relayed else self._session.full_body()
+        kept = not self._session.relayed and len(body) <= MAX_STORED_BYTES
+        content_type = self._session.content_type
         return claim.StoredAnswer(self._status, content_type, body if kept else b"", kept)
 
     def _ended(
@@ -140,14 +140,14 @@
         answer: claim.StoredAnswer | None = None,
         pause_s: float = 0.0,
     ) -> entry_types.AttemptEnded:
-        held = self._held
+        session = self._session
         return entry_types.AttemptEnded(
             self._dispatch.attempt_id,
             result,
             status=self._status,
-            tokens=held.tokens,
-            relayed=held.relayed,
-            resumable=held.resumable,
+            tokens=session.tokens,
+            relayed=session.relayed,
+            resumable=session.resumable,
             answer=answer,
             error=error,
             pause_s=pause_s,
@@ -155,9 +155,9 @@
 
 
 def _is_refusal(response: http_client.Response) -> bool:
-    """Return whether the upstream says that it has not begun to execute the request.
+    """Return whether the response states that the upstream has not started the request.
 
-    A bare 503 does not say that: it may come from the middle of an execution.
+    A 503 alone does not state that: it may come from the middle of an execution.
     """
     if response.status == _TOO_MANY_REQUESTS:
         return True
--- a/src/medlarfork/entry/view_delta.py
+++ b/src/medlarfork/entry/view_delta.py
@@ -1,4 +1,4 @@
-"""Apply view deltas: what changed among the entry hosts between two views."""
+"""Application of view deltas, the changes of entry hosts between two views."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def apply(base: member.View, delta: heartbeat.ViewDelta) -> member.View | None:
-    """Return the view that the delta leads to; None if it does not fit the base."""
+    """Return the base view with the delta applied; None if the delta does not match the base."""
     if delta.base_version != base.version or delta.version <= base.version:
         return None
     member_by_id = dict(base.member_by_id)
--- a/src/medlarfork/errors.py
+++ b/src/medlarfork/errors.py
@@ -1,4 +1,4 @@
-"""Define every error the package raises; each has a code and a message that names the remedy."""
+"""Errors raised by the package; each has a code and a message that includes a remedy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Code(enum.StrEnum):
-    """Identify an error kind to programs; the text is stable across versions."""
+    """Error code for programs; values are stable across versions."""
 
     ACCOUNT_LIMIT = "account_limit"
     ALREADY_RAN = "already_ran"
@@ -41,17 +41,17 @@
 
 
 class MedlarError(Exception):
-    """Carry a code, what went wrong and what to do about it.
+    """Base class of all errors, with a code, the problem and a remedy.
 
     Attributes:
-        code: The stable kind of the error.
-        remedy: What the reader can do; always a full sentence.
+        code: Stable error code.
+        remedy: How to resolve the problem; always a full sentence.
     """
 
     code: Code = Code.BAD_REQUEST
 
     def __init__(self, problem: str, *, remedy: str, code: Code | None = None) -> None:
-        """Build the error; ``code`` overrides the kind's own."""
+        """Create the error; ``code`` overrides the code of the class."""
         super().__init__(f"{problem} {remedy}")
         self.problem = problem
         self.remedy = remedy
@@ -60,62 +60,62 @@
 
 
 class SelectorSyntaxError(MedlarError):
-    """Report a selector text that does not parse."""
+    """A selector that does not parse."""
 
     code = Code.SELECTOR_SYNTAX
 
 
 class ConfigurationError(MedlarError):
-    """Report a declared configuration that can't be accepted."""
+    """An invalid declared configuration."""
 
     code = Code.CONFIGURATION_INVALID
 
 
 class SettingsError(MedlarError):
-    """Report a settings file that a program can't start from."""
+    """A command line or settings file that a program can't start with."""
 
     code = Code.SETTINGS_INVALID
 
 
 class DamagedJournalError(MedlarError):
-    """Report a journal damaged elsewhere than at its torn tail."""
+    """A journal that is damaged other than by an incomplete write at its end."""
 
     code = Code.DAMAGED_JOURNAL
 
 
 class DiskFullError(MedlarError):
-    """Report a write that found no room and left nothing behind."""
+    """A write that failed because the disk is full, and left no partial data."""
 
     code = Code.JOURNAL_FAILED
 
 
 class JournalError(MedlarError):
-    """Report a data folder that can't be used, or a write to it that failed."""
+    """A data folder that can't be used, or a failed write to it."""
 
     code = Code.JOURNAL_FAILED
 
 
 class LinkError(MedlarError):
-    """Report a link between processes that can't be opened or authenticated."""
+    """A link between processes that can't be opened or authenticated."""
 
     code = Code.LINK
 
 
 class HttpLimitError(MedlarError):
-    """Report a peer that broke a limit or the grammar of HTTP."""
+    """A peer that violated a limit or the syntax of HTTP."""
 
     code = Code.BAD_REQUEST
 
 
 class CallerDisconnectedError(HttpLimitError):
-    """Report a caller that closed, reset or stopped reading its connection."""
+    """A caller that closed, reset or stopped reading its connection."""
 
 
 class UpstreamError(MedlarError):
-    """Report an upstream that refused, failed or was cut.
+    """An upstream that refused the request, failed, or lost its connection.
 
     Attributes:
-        request_sent: Whether any byte of the request may have left.
+        request_sent: Whether any byte of the request may have been sent.
     """
 
     code = Code.UPSTREAM_FAILED
@@ -123,51 +123,51 @@
 
 
 class RequestNotSentError(UpstreamError):
-    """Report a request of which no byte left: the upstream can't have run it."""
+    """A request of which no byte was sent, so that the upstream can't have run it."""
 
     request_sent = False
 
 
 class RequestWithdrawnError(RequestNotSentError):
-    """Report a request that its sender withdrew before a byte of it left."""
+    """A request that its sender withdrew before any byte of it was sent."""
 
 
 class OperatorError(MedlarError):
-    """Report an operators' request that was refused."""
+    """An operator's request that was refused."""
 
     code = Code.BAD_REQUEST
 
 
 class ControlUnreachableError(OperatorError):
-    """Report that no control leader could be reached in time."""
+    """No control leader could be reached before the timeout."""
 
     code = Code.NOT_LEADER
 
 
 class ModelNotFoundError(MedlarError):
-    """Report a request for a model that no service lists."""
+    """A request for a model that no service lists."""
 
     code = Code.MODEL_NOT_FOUND
 
 
 class ServiceNotFoundError(MedlarError):
-    """Report a request for a service that is not declared."""
+    """A request for a service that is not declared."""
 
     code = Code.NOT_FOUND
 
 
 class RequestLabelsError(MedlarError):
-    """Report request labels that a caller may not use."""
+    """Request labels that the caller may not use."""
 
     code = Code.BAD_REQUEST
 
 
 class RequestRefusedError(MedlarError):
-    """Report a caller's request that is refused before anything of it has run.
+    """A caller's request that is rejected before any part of it has run.
 
     Attributes:
-        status: The HTTP status to answer with.
-        headers: Headers beyond those of every answer.
+        status: HTTP status of the answer.
+        headers: Additional headers of the answer.
     """
 
     def __init__(
@@ -179,7 +179,7 @@
         status: int,
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Build the error."""
+        """Create the error."""
         super().__init__(problem, remedy=remedy, code=code)
         self.status = status
         self.headers = headers or {}
--- a/src/medlarfork/heartbeat.py
+++ b/src/medlarfork/heartbeat.py
@@ -1,6 +1,6 @@
-"""Define the heartbeat between an entry host and control, which carries all that changes.
+"""Define the heartbeat messages between entry hosts and control, which also carry state updates.
 
-An entry host sends one heartbeat a second to the control leader (or to any replica while it
+An entry host sends one heartbeat per second to the control leader (or to any replica while it
 knows no leader). Only a leader that holds its lease answers with ``HeartbeatReply``, so a reply
 proves that its revision was current when it was sent. Other replicas answer ``NotLeader``.
 """
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Renew an entry host's lease and say what it has applied.
+    """Renew an entry host's lease and report which versions it has applied.
 
     Attributes:
         member: The sender.
-        number: Grows with each heartbeat of an incarnation; the reply repeats it.
-        revision: Configuration revision in force at the sender.
-        view_version: Version of the view it holds.
+        number: Increases with each heartbeat of an incarnation; the reply echoes it.
+        revision: Configuration revision in effect at the sender.
+        view_version: Version of the view that the sender has applied.
         leaving: True in the last heartbeat before the process exits.
-        inventory_digest: Digest of the notices of upstreams sent so far; see ``inventory``.
-        out_of_service_version: Version of the list of upstreams out of service it has applied.
+        inventory_digest: Digest of the upstream notices sent so far; see ``inventory``.
+        out_of_service_version: Version of the ``OutOfService`` list that the sender has applied.
     """
 
     member: member.Member
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RevisionedConfiguration:
-    """Carry one accepted configuration with its revision."""
+    """An accepted configuration with its revision."""
 
     revision: int
     configuration: configuration.Configuration
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationDelta:
-    """Carry only the objects that changed since ``base_revision``, keyed as ``KIND/NAME``.
+    """The objects that changed since ``base_revision``, keyed as ``KIND/NAME``.
 
     ``changed`` holds each object encoded as JSON; ``removed`` lists keys.
     """
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutOfService:
-    """List the upstreams that get no new work while they are changed; higher versions count."""
+    """The upstreams that get no new requests while they are changed; the highest version counts."""
 
     version: int = 0
     upstream_ids: tuple[str, ...] = ()
@@ -73,13 +73,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewDelta:
-    """Carry only what changed among the entry hosts since the view ``base_version``.
+    """The changes of the entry hosts' view since ``base_version``.
 
     Attributes:
-        changed: Members that joined or changed in more than their load.
-        removed: Ids of members that left; the base need not hold them.
-        load_by_id: New loads of members that changed in nothing else.
-        member_count: Members of the resulting view; another count means a damaged base.
+        changed: Members that joined or whose fields other than the load changed.
+        removed: Ids of members that left; the base view need not contain them.
+        load_by_id: New loads of members of which only the load changed.
+        member_count: Number of members of the resulting view; a mismatch means that the base
+            view is wrong.
     """
 
     base_version: tuple[int, int]
@@ -92,18 +93,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """Answer a heartbeat; absent parts have not changed.
+    """Answer a heartbeat; fields that are None have not changed.
 
     Attributes:
         number: The heartbeat's number.
         term: The leader's term.
         revision: The current accepted revision.
-        whole: The whole configuration, if the sender's revision is unknown or too old.
-        delta: The change since the sender's revision, if that is shorter.
-        view: The current view, if the sender's is older and no delta can start from it.
-        incarnation: The heartbeat's incarnation; a reply to an earlier one proves nothing now.
+        whole: The complete configuration, if the sender's revision is unknown or too old.
+        delta: The change since the sender's revision, if that is smaller.
+        view: The current view, if the sender's is older and no delta can be computed from it.
+        incarnation: The heartbeat's incarnation; a reply to an earlier one is not a valid proof.
         out_of_service: The upstreams out of service, if the sender's list is older.
-        view_delta: The change since the sender's view, if the leader remembers that one.
+        view_delta: The change since the sender's view, if the leader still stores that view.
     """
 
     number: int
@@ -119,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotLeader:
-    """Answer a message that only the leader may answer; ``leader_id`` is empty if unknown."""
+    """Reply of a replica that does not lead; ``leader_id`` is empty if unknown."""
 
     leader_id: str
     term: int
@@ -127,9 +128,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RevisionNotice:
-    """Tell an entry host at once that something newer exists; it then sends a heartbeat.
+    """Notify an entry host of newer versions, so that it sends a heartbeat at once.
 
-    A lost notice costs one heartbeat period.
+    A lost notice delays the update by one heartbeat period.
     """
 
     revision: int
--- a/src/medlarfork/http/__init__.py
+++ b/src/medlarfork/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 under curio: server, client, connections and streams of events."""
+"""HTTP/1.1 under curio: server, client, connections and server-sent events."""
--- a/src/medlarfork/http/_http_connection.py
+++ b/src/medlarfork/http/_http_connection.py
@@ -1,4 +1,4 @@
-"""Serve the requests of one connection, one after the other."""
+"""Server side of one HTTP/1.1 connection: reads requests one after the other."""
 
 from __future__ import annotations
 
@@ -10,24 +10,25 @@
 from medlarfork.http import _http_exchange, _http_limits, _http_messages, _http_stream
 
 Handler = Callable[[_http_exchange.Exchange], Awaitable[None]]
-"""Answers one exchange."""
+"""Handles one exchange by writing its response."""
 
 FaultReporter = Callable[[_http_exchange.RequestHead, Exception], None]
-"""Is told of an exception that a handler did not expect."""
+"""Receives the unexpected exceptions of handlers."""
 
 _LINGER_BYTES = 1024 * 1024
-"""Most bytes skipped while waiting for a caller's end."""
+"""Maximum bytes discarded while waiting for the caller to close the connection."""
 
 _NO_HEAD = _http_exchange.RequestHead("", "", "", {})
-"""Stands for a head that could not be read."""
+"""Placeholder for a request head that could not be read."""
 
 
 class Connection:
-    """Read requests off one connection and give each to the handler.
+    """Reads requests from one connection and passes each to the handler.
 
     Attributes:
         stream: The connection's socket.
         busy: Whether a request is being read or answered.
+        closing: Whether the connection closes after the request in progress.
     """
 
     __slots__ = ("_exchange", "_h11", "_handler", "_limits", "_report", "busy", "closing", "stream")
@@ -40,7 +41,7 @@
         limits: _http_limits.HttpLimits,
         report: FaultReporter,
     ) -> None:
-        """Wire the connection; ``serve`` runs it."""
+        """Wrap an accepted stream; ``serve`` runs the connection."""
         self.stream = stream
         self.busy = False
         self.closing = False
@@ -59,28 +60,28 @@
             self.stream.interrupt_reading()
 
     async def serve(self) -> None:
-        """Serve until either side ends the connection; the stream is closed afterwards."""
-        cut = True
+        """Serve requests until either side ends the connection, then close the stream."""
+        must_reset = True
         try:
             while await self._serve_one():
                 pass
-            cut = False
+            must_reset = False
         except (OSError, errors.HttpLimitError):
-            pass  # The caller is gone; nobody is left to be told.
+            pass  # The caller has disconnected or was refused; there is nothing to send.
         finally:
-            if cut:
-                await self.stream.cut()
+            if must_reset:
+                await self.stream.reset()
             else:
                 await self.stream.close()
 
     async def refuse(self, status: int, error: errors.MedlarError) -> None:
-        """Answer what could not become an exchange."""
+        """Respond with an error to input that did not become an exchange."""
         exchange = self._make_exchange(_NO_HEAD)
         await exchange.refuse(status, error)
         await self._linger()
 
     async def _serve_one(self) -> bool:
-        """Serve a request and return whether the connection can take another."""
+        """Serve one request and return whether the connection can be reused."""
         event = await self._read_head()
         if event is None:
             return False
@@ -94,7 +95,7 @@
         await self._answer(exchange)
         self._exchange = None
         if exchange.aborted:
-            raise ConnectionAbortedError("the answer was cut")
+            raise ConnectionAbortedError("the response was aborted")
         if self.closing or not self._is_reusable():
             await self._linger()
             return False
@@ -108,7 +109,7 @@
         return _http_exchange.Exchange(head, self._h11, self.stream, self._limits)
 
     async def _read_head(self) -> h11.Request | None:
-        """Return the next request; None if the connection ended or was refused."""
+        """Return the next request; None if the connection ended or the request was refused."""
         self.busy = bool(self._h11.trailing_data[0])
         self.stream.arm(self._limits.header_s if self.busy else self._limits.idle_s)
         while True:
@@ -132,12 +133,15 @@
             self._h11.receive_data(data)
 
     async def _refuse_slow_head(self) -> None:
-        """Answer a caller that sent only a part of a head in time; others have just gone."""
+        """Respond with 408 if only a part of the head arrived in time.
+
+        Otherwise the caller closed the connection or was idle, and there is nothing to answer.
+        """
         if not (self.busy and self.stream.expired):
             return
         error = errors.HttpLimitError(
-            f"The request's head did not arrive within {self._limits.header_s:g} s.",
-            remedy="Send the whole head at once.",
+            f"The request head did not arrive within {self._limits.header_s:g} s.",
+            remedy="Send the complete head at once.",
             code=errors.Code.REQUEST_TIMEOUT,
         )
         await self.refuse(408, error)
@@ -148,21 +152,21 @@
             return
         error = errors.HttpLimitError(
             f"The request is not valid HTTP/1.1: {cause}.",
-            remedy="Correct the request's line, headers or framing.",
+            remedy="Correct the request line, headers or framing.",
         )
         await self.refuse(400, error)
 
     async def _refuse_large_head(self) -> None:
         error = errors.HttpLimitError(
-            f"The request's head is larger than {self._limits.header_bytes} bytes"
-            f" or {self._limits.header_count} lines.",
+            f"The request head exceeds {self._limits.header_bytes} bytes"
+            f" or {self._limits.header_count} header lines.",
             remedy="Send fewer or shorter headers.",
             code=errors.Code.HEADER_TOO_LARGE,
         )
         await self.refuse(431, error)
 
     async def _check_head(self, event: h11.Request) -> _http_exchange.RequestHead | None:
-        """Return the head; None if it has been refused."""
+        """Return the parsed head; None if the request was refused."""
         lines = event.headers
         size = len(event.target) + sum(len(name) + len(value) + 4 for name, value in lines)
         if size > self._limits.header_bytes or len(lines) > self._limits.header_count:
@@ -170,7 +174,7 @@
             return None
         if len(event.target) > self._limits.target_bytes:
             error = errors.HttpLimitError(
-                f"The request's target is longer than {self._limits.target_bytes} bytes.",
+                f"The request target is longer than {self._limits.target_bytes} bytes.",
                 remedy="Send a shorter path or query.",
                 code=errors.Code.HEADER_TOO_LARGE,
             )
@@ -186,12 +190,12 @@
         return _http_exchange.RequestHead(method, path, query, headers)
 
     async def _answer(self, exchange: _http_exchange.Exchange) -> None:
-        """Run the handler; whatever it does, the exchange has an end afterwards."""
+        """Run the handler and make sure that the exchange is finished afterwards."""
         try:
             await self._handler(exchange)
         except errors.HttpLimitError:
             if not exchange.finished:
-                await exchange.abort()  # Nobody is left to be answered.
+                await exchange.abort()  # The caller is gone, or its response can't be completed.
         except Exception as error:
             self._report(exchange.head, error)
         if exchange.finished:
@@ -200,15 +204,18 @@
             await exchange.abort()
             return
         fault = errors.MedlarError(
-            "The request met an internal error.",
-            remedy="Look for the error in this host's log, by the time of the request.",
+            "The request failed with an internal error.",
+            remedy="Search this host's log for the error at the time of the request.",
             code=errors.Code.UNCERTAIN,
         )
         headers = _http_messages.error_headers(_http_messages.MAY_HAVE_RUN)
         await exchange.respond(500, headers, _http_messages.error_body(fault, 500))
 
     async def _linger(self) -> None:
-        """Wait for the caller's end: closing on unread bytes could destroy the last answer."""
+        """Wait until the caller closes, discarding what it sends.
+
+        Closing a socket with unread bytes sends a reset, which could destroy the last response.
+        """
         self.stream.end_writing()
         self.stream.arm(self._limits.linger_s)
         skipped = 0
@@ -220,12 +227,12 @@
 
 
 def _find_violation(event: h11.Request, headers: dict[str, str]) -> str:
-    """Return what is wrong with a head that h11 accepts; empty if nothing is."""
+    """Return why a head that h11 accepts is refused; empty if it is valid."""
     if "transfer-encoding" in headers and "content-length" in headers:
-        # Two framings in one message are how requests are smuggled past a router.
+        # Conflicting framing headers allow request smuggling.
         return "The request has both Content-Length and Transfer-Encoding."
     if event.method == b"CONNECT":
         return "The method CONNECT is not supported."
     if not event.target.startswith(b"/") and event.target != b"*":
-        return "The request's target must be a path."
+        return "The request target must be a path."
     return ""
--- a/src/medlarfork/http/_http_exchange.py
+++ b/src/medlarfork/http/_http_exchange.py
@@ -1,4 +1,4 @@
-"""Hand one request of a connection to its handler, and write the answer."""
+"""One HTTP exchange on the server side: the request and the writing of its response."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from medlarfork.http import _http_limits, _http_messages, _http_stream
 
 _PIPELINE_LIMIT_BYTES = 64 * 1024
-"""Bytes of following requests kept while an answer is under way."""
+"""Maximum bytes of pipelined requests buffered while a response is in progress."""
 
 _PEER_POLL_S = 0.25
-"""How often a caller that has sent more than that is asked for its TCP state, in seconds."""
+"""Interval at which the TCP state is polled once that buffer is full, in seconds."""
 
 _BODILESS_STATUSES = frozenset({204, 304})
-"""Statuses whose answers never have a body."""
+"""Statuses whose responses never have a body."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHead:
-    """Hold what came before the body of a request.
+    """Request line and headers of a request.
 
     Attributes:
         method: HTTP method as sent.
@@ -39,20 +39,20 @@
 
     @property
     def target(self) -> str:
-        """Return the path, with the query if any."""
+        """Return the path with the query, if any."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
 
 class Exchange:
-    """Read one request and write its answer; valid until the handler returns.
+    """One request and its response; valid until the handler returns.
 
-    Every method that writes raises ``errors.CallerDisconnectedError`` once the caller can't be reached.
+    Every method that writes raises ``errors.CallerDisconnectedError`` once the caller has disconnected.
 
     Attributes:
-        head: The request's head.
-        started: Whether any byte of an answer was given to the socket.
-        finished: Whether the answer has ended, properly or cut.
-        aborted: Whether the connection was cut.
+        head: The request line and headers.
+        started: Whether the response has been started.
+        finished: Whether the response is complete or aborted.
+        aborted: Whether the connection was reset.
     """
 
     __slots__ = (
@@ -73,7 +73,7 @@
         stream: _http_stream.Stream,
         limits: _http_limits.HttpLimits,
     ) -> None:
-        """Wire the exchange to its connection."""
+        """Create the exchange of a request that was received on a connection."""
         self.head = head
         self.started = False
         self.finished = False
@@ -84,15 +84,16 @@
         self._closing = False
 
     def close_after(self) -> None:
-        """Close the connection after this answer instead of keeping it alive."""
+        """Close the connection after this response instead of keeping it alive."""
         self._closing = True
 
     async def read_body(self) -> bytes:
-        """Return the whole body; a caller that breaks a limit has been answered already.
+        """Return the complete body of the request.
 
         Raises:
-            errors.HttpLimitError: If the body is too large, malformed or too slow.
-            errors.CallerGoneError: If the caller went before its body was whole.
+            errors.HttpLimitError: If the body is too large, malformed or too slow; the error
+                response has been sent already.
+            errors.CallerGoneError: If the caller disconnected before its body was complete.
         """
         if self._h11.their_state is h11.DONE:
             return b""
@@ -107,7 +108,7 @@
         return body
 
     async def respond(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
-        """Write a whole answer with its length."""
+        """Write a complete response with its Content-Length."""
         lines = _http_messages.encode_headers(headers)
         if status not in _BODILESS_STATUSES:
             lines = [line for line in lines if line[0].lower() != b"content-length"]
@@ -120,22 +121,22 @@
         self.finished = True
 
     async def begin(self, status: int, headers: Mapping[str, str]) -> None:
-        """Write the head of a streamed answer: chunked, unless ``headers`` give the length."""
+        """Write the head of a streamed response: chunked unless ``headers`` have a length."""
         await self._write(self._start(status, _http_messages.encode_headers(headers)))
 
     async def send(self, data: bytes) -> None:
-        """Write a part of a streamed answer at once; wait while the caller reads slowly."""
+        """Write a part of a streamed response without buffering; wait if the caller is slow."""
         if not data or self.head.method == "HEAD":
             return
         await self._write(self._h11.send(h11.Data(data=data)))
 
     async def finish(self) -> None:
-        """End a streamed answer properly."""
+        """Complete a streamed response."""
         await self._write(self._h11.send(h11.EndOfMessage()))
         self.finished = True
 
     async def abort(self) -> None:
-        """Cut the connection, so that the answer can't look whole."""
+        """Reset the connection, so that a partial response can't be taken for a complete one."""
         if self.aborted:
             return
         self.finished = True
@@ -143,11 +144,11 @@
         await self._stream.reset()
 
     async def wait_caller_gone(self) -> None:
-        """Return when the caller has closed its connection, reset it or stopped reading.
+        """Return when the caller has closed or reset its connection, or has stopped reading.
 
-        Run this in a task of its own after ``read_body`` and cancel it before the handler returns.
-        Bytes of a following request are kept. A caller that closes only its sending side counts
-        as gone.
+        Run this in its own task after ``read_body`` and cancel it before the handler returns.
+        Bytes of pipelined requests are kept. A caller that shuts down only its sending side counts
+        as disconnected.
         """
         kept = len(self._h11.trailing_data[0])
         while kept < _PIPELINE_LIMIT_BYTES:
@@ -159,12 +160,16 @@
                 return
             self._h11.receive_data(data)
             kept += len(data)
-        # What is left stays unread; an end that waits behind a full window shows when writing.
+        # The buffer is full, so the rest stays unread. A close that the full receive window holds
+        # back is noticed when the response is written.
         while not self._stream.is_closed_by_peer():
             await curio.sleep(_PEER_POLL_S)
 
     async def refuse(self, status: int, error: errors.MedlarError) -> None:
-        """Answer with an error that says that nothing was run, and close the connection."""
+        """Respond with an error and the outcome ``not_run``, and close the connection.
+
+        A response that has started already is aborted instead.
+        """
         if self.started:
             await self.abort()
             return
@@ -176,7 +181,7 @@
         return self.head.method != "HEAD" and status not in _BODILESS_STATUSES
 
     def _start(self, status: int, lines: _http_messages.RawHeaders) -> bytes:
-        """Return the bytes of an answer's head."""
+        """Return the bytes of the response head."""
         if self._closing or not self._is_body_read():
             lines.append((b"Connection", b"close"))
         response = h11.Response(
@@ -187,7 +192,7 @@
         return data
 
     def _is_body_read(self) -> bool:
-        """Return whether the request has ended; skip what is left of it in the buffer."""
+        """Return whether the request body is read, after discarding what is buffered of it."""
         while self._h11.their_state is h11.SEND_BODY:
             if self._h11.they_are_waiting_for_100_continue:
                 return False
@@ -228,7 +233,7 @@
             raise _caller_gone()
         limit = errors.HttpLimitError(
             f"The body did not arrive within {self._limits.body_s:g} s.",
-            remedy="Send the whole body faster, or send less.",
+            remedy="Send the body faster, or send a smaller one.",
             code=errors.Code.REQUEST_TIMEOUT,
         )
         await self.refuse(408, limit)
@@ -267,5 +272,5 @@
 def _caller_gone() -> errors.CallerDisconnectedError:
     return errors.CallerDisconnectedError(
         "The caller closed its connection or stopped reading.",
-        remedy="Nothing needs to be done here; the caller may send its request again.",
+        remedy="No action is needed; the caller may retry its request.",
     )
--- a/src/medlarfork/http/_http_limits.py
+++ b/src/medlarfork/http/_http_limits.py
@@ -1,4 +1,4 @@
-"""Define what a connection may use before it is refused or cut."""
+"""Limits of the HTTP server: sizes, timeouts and connection counts."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Bound what callers may use.
+    """Limits that callers must keep; violations are refused or reset.
 
     Attributes:
-        target_bytes: Length of a request's target.
-        header_bytes: Length of a request's line and headers together.
-        header_count: Number of header lines.
-        body_bytes: Length of a request's body.
-        header_s: Time to the whole head, from its first byte, in seconds.
-        body_s: Time to the whole body, from the end of the head, in seconds.
-        idle_s: Time a connection may be silent between requests, in seconds.
-        stall_s: Time a caller may read nothing while an answer is being written, in seconds.
-        linger_s: Time to wait for a caller's end after the last answer, in seconds.
-        connections: Connections open at once.
-        unacknowledged_s: Time after which a connection is given up whose peer acknowledges
-            nothing, in seconds; 0 leaves that to the system.
+        target_bytes: Maximum size of a request target.
+        header_bytes: Maximum size of a request line and its headers together.
+        header_count: Maximum number of header lines.
+        body_bytes: Maximum size of a request body.
+        header_s: Timeout for the head, from its first byte, in seconds.
+        body_s: Timeout for the body, from the end of the head, in seconds.
+        idle_s: Timeout of a connection between requests, in seconds.
+        stall_s: Timeout of a write that makes no progress, in seconds.
+        linger_s: Time to wait for the caller to close after the last response, in seconds.
+        connections: Maximum number of open connections.
+        unacknowledged_s: Timeout for unacknowledged data (TCP_USER_TIMEOUT), in seconds; 0 for
+            the system's default.
     """
 
     target_bytes: int = 8 * 1024
--- a/src/medlarfork/http/_http_messages.py
+++ b/src/medlarfork/http/_http_messages.py
@@ -1,4 +1,4 @@
-"""Build and check the parts of HTTP messages that both sides share."""
+"""Headers, reason phrases and error bodies of HTTP messages, for client and server."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only; each side sets its own."""
+"""Headers that apply to a single connection and are never forwarded."""
 
 NOT_RUN = request.Outcome.NOT_RUN
-"""Outcome of every request that is refused before it is handed on."""
+"""Outcome of a request that is refused before a handler gets it."""
 
 MAY_HAVE_RUN = request.Outcome.MAY_HAVE_RUN
-"""Outcome where a handler failed: it is not known how far it came."""
+"""Outcome of a request whose handler failed: it may have taken effect."""
 
 RawHeaders = list[tuple[bytes, bytes]]
-"""Header lines as h11 takes them."""
+"""Header lines in the form that h11 expects."""
 
 
 def decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Return header values by lower-case name; values of a repeated name are joined."""
+    """Return header values by lower-case name; values of repeated headers are joined."""
     value_by_name: dict[str, str] = {}
     for raw_name, raw_value in raw:
         name = raw_name.decode("latin-1")
@@ -48,7 +48,7 @@
 
 
 def encode_headers(headers: Mapping[str, str]) -> RawHeaders:
-    """Return header lines without those that concern the connection."""
+    """Return header lines without hop-by-hop headers."""
     return [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in headers.items()
@@ -66,12 +66,12 @@
 
 
 def error_body(error: errors.MedlarError, status: int) -> bytes:
-    """Return an error in the shape that OpenAI's clients understand."""
+    """Return an error body in the format of the OpenAI API."""
     kind = "server_error" if status >= 500 else "invalid_request_error"
     detail = {"message": str(error), "type": kind, "code": error.code.value, "param": None}
     return msgspec.json.encode({"error": detail})
 
 
 def error_headers(outcome: request.Outcome) -> dict[str, str]:
-    """Return the headers of an error answer."""
+    """Return the headers of an error response."""
     return {"Content-Type": "application/json", header_names.OUTCOME: outcome.value}
--- a/src/medlarfork/http/_http_pool.py
+++ b/src/medlarfork/http/_http_pool.py
@@ -1,4 +1,4 @@
-"""Keep connections to upstreams for reuse, within bounds."""
+"""Connection pool of the HTTP client."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from medlarfork.http import _http_response, _http_stream
 
 _SWEEP_PERIOD_S = 0.25
-"""How often deadlines of connections are checked, in seconds: half of the time by which idle ones
-are closed before their upstream does. Each check wakes the process."""
+"""Interval at which deadlines of connections are checked, in seconds: half of the margin by which
+idle connections are closed before their upstream closes them. Each check wakes the process."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bound what upstreams may use.
+    """Limits of the HTTP client.
 
     Attributes:
-        connections: Connections open at once, idle ones included.
-        idle_per_address: Connections kept for reuse to one address.
-        idle_s: How long a connection is kept for reuse, in seconds.
-        connect_s: Time to connect, in seconds.
-        exchange_s: Time to the end of an answer where the request names none, in seconds.
-        header_bytes: Length of an answer's head.
-        body_bytes: Length of a body that ``Response.read`` collects.
-        unacknowledged_s: Time after which a connection is given up whose peer acknowledges
-            nothing, in seconds; 0 leaves that to the system.
+        connections: Maximum number of open connections, idle ones included.
+        idle_per_address: Maximum number of idle connections to one address.
+        idle_s: How long an idle connection is kept, in seconds.
+        connect_s: Timeout for connecting, in seconds.
+        exchange_s: Timeout to the end of a response for requests without their own, in seconds.
+        header_bytes: Maximum size of a response head.
+        body_bytes: Maximum size of a body that ``Response.read`` returns.
+        unacknowledged_s: Timeout for unacknowledged data (TCP_USER_TIMEOUT), in seconds; 0 for
+            the system's default.
     """
 
     connections: int = 4096
@@ -49,10 +49,10 @@
 
 
 class Reachability(enum.StrEnum):
-    """Say what an attempt to connect to an address met.
+    """Result of an attempt to connect to an address.
 
-    A port that refuses has nobody who listens: its process has ended, or never began. Silence
-    tells nothing of the process, since a cut looks the same.
+    A refusal means that no process listens on the port: it has ended or was never started.
+    Silence says nothing about the process, since a network partition looks the same.
     """
 
     ACCEPTS = "accepts"
@@ -62,17 +62,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Idle:
-    """Hold a connection until it is reused or has been idle for too long."""
+    """Idle connection and when it expires."""
 
     connection: _http_response.ClientConnection
     expires_at: float
 
 
 class ConnectionPool:
-    """Open connections, keep those that end whole, and drop what is dead or old."""
+    """Opens connections, keeps reusable ones and closes those that are dead or expired."""
 
     def __init__(self, limits: ClientLimits) -> None:
-        """Make an empty pool."""
+        """Create an empty pool."""
         self._limits = limits
         self._idle_by_address: dict[str, collections.deque[_Idle]] = {}
         self._open: set[_http_response.ClientConnection] = set()
@@ -87,16 +87,16 @@
 
     @property
     def idle_connections(self) -> int:
-        """Return the number of connections kept for reuse."""
+        """Return the number of idle connections."""
         return sum(len(kept) for kept in self._idle_by_address.values())
 
     async def start(self) -> None:
-        """Start the task that keeps deadlines."""
+        """Start the task that enforces deadlines."""
         self._closed = False
         await self._sweeper.start()
 
     async def close(self) -> None:
-        """Close idle connections, end exchanges in progress, and keep none from now on."""
+        """Close idle connections and abort exchanges; connections returned later are closed."""
         self._closed = True
         await self._sweeper.close()
         idle_by_address = self._idle_by_address
@@ -108,10 +108,10 @@
             connection.stream.expire()
 
     async def take(self, address: str, deadline_at: float) -> _http_response.ClientConnection:
-        """Return an idle connection that is alive, or a new one.
+        """Return a live idle connection, or else a new one.
 
         Raises:
-            errors.RequestNotSentError: If there is none and none can be opened.
+            errors.RequestNotSentError: If no connection can be opened.
         """
         kept = self._idle_by_address.get(address)
         while kept:
@@ -124,7 +124,7 @@
         return await self._open_new(address, deadline_at)
 
     async def reach(self, address: str, within_s: float) -> Reachability:
-        """Connect to an address and say what that met; the connection is kept for reuse."""
+        """Probe an address by connecting to it; the connection is kept for reuse."""
         try:
             connection = await self._open_new(address, time.monotonic() + within_s)
         except errors.RequestNotSentError as error:
@@ -134,7 +134,7 @@
         return Reachability.ACCEPTS
 
     async def keep(self, connection: _http_response.ClientConnection) -> None:
-        """Take a connection back that can carry another request."""
+        """Return a reusable connection to the pool."""
         kept = self._idle_by_address.setdefault(connection.address, collections.deque())
         if self._closed or len(kept) >= self._limits.idle_per_address:
             if not kept:
@@ -148,7 +148,7 @@
         kept.append(_Idle(connection, time.monotonic() + idle_s))
 
     def remove(self, connection: _http_response.ClientConnection) -> None:
-        """Stop counting a connection that has been closed."""
+        """Remove a closed connection from the pool."""
         self._open.discard(connection)
         self._sweeper.discard(connection.stream)
 
@@ -158,7 +158,7 @@
         if len(self._open) + self._opening >= self._limits.connections:
             raise errors.RequestNotSentError(
                 f"All {self._limits.connections} connections to upstreams are in use.",
-                remedy="Send fewer requests at once, or raise the limit.",
+                remedy="Send fewer concurrent requests, or raise the limit.",
                 code=errors.Code.OVERLOADED,
             )
         within_s = min(self._limits.connect_s, deadline_at - time.monotonic())
@@ -180,7 +180,7 @@
         return connection
 
     async def _close_one_idle(self) -> None:
-        """Make room by closing a connection that nobody uses."""
+        """Close one idle connection to make room for a new one."""
         for address, kept in self._idle_by_address.items():
             oldest = kept.popleft()
             if not kept:
@@ -203,7 +203,7 @@
     host, _, port = address.removeprefix("http://").rstrip("/").rpartition(":")
     if not host or not port.isdecimal():
         raise errors.RequestNotSentError(
-            f"{address!r} is not an address.", remedy="Give it as http://IP:PORT."
+            f"{address!r} is not a valid address.", remedy="Use the form http://IP:PORT."
         )
     if host.startswith("["):
         return socket.AF_INET6, host.strip("[]"), int(port)
@@ -214,7 +214,7 @@
     """Return a connected socket.
 
     Raises:
-        errors.RequestNotSentError: If the address refuses or doesn't answer in time.
+        errors.RequestNotSentError: If the connection is refused or times out.
     """
     try:
         return await curio.timeout_after(within_s, _connect_socket, *_parse_address(address))
@@ -244,5 +244,5 @@
 def _not_connected(address: str, why: str) -> errors.RequestNotSentError:
     return errors.RequestNotSentError(
         f"Can't connect to {address}: {why}.",
-        remedy="See whether the upstream runs and can be reached from this host.",
+        remedy="Check that the upstream is running and reachable from this host.",
     )
--- a/src/medlarfork/http/_http_response.py
+++ b/src/medlarfork/http/_http_response.py
@@ -1,4 +1,4 @@
-"""Exchange one request for its answer on a connection, and tell whole answers from cut ones."""
+"""Client side of one HTTP/1.1 connection: sends requests and detects truncated responses."""
 
 from __future__ import annotations
 
@@ -13,43 +13,44 @@
 from medlarfork.http import _http_messages, _http_stream
 
 _MAX_INFORMATIONAL = 8
-"""Informational answers accepted before the real one."""
+"""Informational (1xx) responses accepted before the final one."""
 
 
 _TIMEOUT = re.compile(r"\btimeout=(\d{1,6})")
-"""The time in a Keep-Alive header, in whole seconds."""
+"""The ``timeout`` parameter of a Keep-Alive header, in whole seconds."""
 
 _IDLE_MARGIN_S = 0.5
-"""How much sooner than its upstream an idle connection is closed: a request sent just before the
-upstream closes would be lost, and can't always be sent again."""
+"""How much sooner than its upstream an idle connection is closed. A request sent just before the
+upstream closes would be lost, and not every request can be retried."""
 
 
 class Pool(Protocol):
-    """Take connections back."""
+    """Interface of the connection pool, as a connection uses it."""
 
     async def keep(self, connection: ClientConnection) -> None:
-        """Take a connection that can carry another request."""
+        """Return a reusable connection to the pool."""
 
     def remove(self, connection: ClientConnection) -> None:
-        """Stop counting a connection that has been closed."""
+        """Remove a closed connection."""
 
 
 class ClientConnection:
-    """Carry one exchange at a time with one upstream.
+    """Client connection to one upstream; carries one exchange at a time.
 
     Attributes:
         address: ``http://IP:PORT`` of the upstream.
         stream: The connection's socket.
-        body_bytes: Longest body that is collected, in bytes.
+        body_bytes: Maximum size of a response body that is read into memory, in bytes.
         closed: Whether the connection has been closed.
-        idle_s: How long the upstream keeps it open between requests, as far as it said.
+        idle_s: Idle timeout from the upstream's Keep-Alive header, less a margin, in seconds;
+            infinite if it sent none.
     """
 
     __slots__ = (
         "_broken",
         "_h11",
         "_pool",
-        "_spent",
+        "_needs_data",
         "address",
         "body_bytes",
         "closed",
@@ -66,7 +67,7 @@
         header_bytes: int,
         body_bytes: int,
     ) -> None:
-        """Wire a connection that is open."""
+        """Wrap an open stream."""
         self.address = address
         self.stream = stream
         self.body_bytes = body_bytes
@@ -74,14 +75,14 @@
         self.idle_s = math.inf
         self._pool = pool
         self._broken = False
-        self._needs_data = True  # Whether h11 has nothing left to make an event of.
+        self._needs_data = True  # Whether h11 needs more bytes before its next event.
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=header_bytes)
 
     async def exchange(self, head: h11.Request, body: bytes, deadline_at: float) -> Response:
-        """Send a request and return its answer once the head of that is in.
+        """Send a request and return the response once its head has arrived.
 
         Raises:
-            errors.RequestNotSentError: If no byte of the request left.
+            errors.RequestNotSentError: If no byte of the request was sent.
             errors.UpstreamError: If the exchange failed after that.
         """
         self.stream.deadline_at = deadline_at
@@ -98,10 +99,10 @@
         return Response(self, response.status_code, headers, framed)
 
     async def next_event(self) -> h11.Event:
-        """Return the next event of the answer.
+        """Return the next event of the response.
 
         Raises:
-            errors.UpstreamError: If the connection ends or breaks the protocol before it.
+            errors.UpstreamError: If the connection ends or violates the protocol first.
         """
         while True:
             event = self.buffered_event()
@@ -110,18 +111,18 @@
             self._feed(await self._receive())
 
     def buffered_event(self) -> h11.Event | None:
-        """Return the next event that needs no further bytes, if any."""
+        """Return the next event that can be parsed from bytes already received, if any."""
         if self._needs_data:
             return None
         try:
             event = self._h11.next_event()
         except h11.RemoteProtocolError as error:
-            raise self.failure(f"it ended or broke HTTP/1.1 ({error})") from error
+            raise self.failure(f"connection closed or invalid HTTP/1.1 ({error})") from error
         self._needs_data = event is h11.NEED_DATA
         return None if self._needs_data else event
 
     async def release(self) -> None:
-        """Give the connection back after a whole answer, or close it if it can't be reused."""
+        """Return the connection to the pool after a complete response, or close it."""
         if self.closed:
             return
         reusable = (
@@ -145,7 +146,7 @@
             await self.stream.close()
 
     async def reset(self) -> None:
-        """Reset the connection, so that the upstream stops its work."""
+        """Reset the connection, so that the upstream stops processing the request."""
         if not self.closed:
             self.closed = True
             self._pool.remove(self)
@@ -155,7 +156,7 @@
         """Return the error for an exchange that failed after its request was sent."""
         return errors.UpstreamError(
             f"The exchange with {self.address} failed: {why}.",
-            remedy="The request may have run; repeat it only if that does no harm.",
+            remedy="The request may have run; retry it only if it is safe to repeat.",
         )
 
     async def _send(self, data: bytes) -> None:
@@ -163,8 +164,8 @@
             sent = self.stream.send_now(data)
         except OSError as error:
             raise errors.RequestNotSentError(
-                f"{self.address} closed the connection before the request: {error}.",
-                remedy="Send the request again, here or elsewhere.",
+                f"{self.address} closed the connection before the request was sent: {error}.",
+                remedy="Retry the request, with the same upstream or another one.",
             ) from error
         try:
             if sent < len(data):
@@ -172,7 +173,7 @@
         except TimeoutError as error:
             raise self._timed_out() from error
         except OSError:
-            self._broken = True  # It may have answered before it had read everything.
+            self._broken = True  # The upstream may have responded before reading everything.
 
     async def _read_head(self) -> h11.Response:
         for _ in range(_MAX_INFORMATIONAL):
@@ -180,8 +181,8 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise self.failure("it ended before an answer")
-        raise self.failure("it sent too many informational answers")
+                raise self.failure("connection closed before a response")
+        raise self.failure("too many informational responses")
 
     async def _receive(self) -> bytes:
         try:
@@ -198,28 +199,28 @@
 
     def _timed_out(self) -> errors.UpstreamError:
         return errors.UpstreamError(
-            f"The exchange with {self.address} took too long.",
-            remedy="The request may have run; repeat it only if that does no harm.",
+            f"The exchange with {self.address} timed out.",
+            remedy="The request may have run; retry it only if it is safe to repeat.",
             code=errors.Code.REQUEST_TIMEOUT,
         )
 
 
 class Response:
-    """Read an answer whose head is in; ``close`` it when it is not read to its end.
+    """Response whose head has arrived; ``close`` it unless the body is read to its end.
 
     Attributes:
         status: HTTP status.
         headers: Header values by lower-case name.
-        framed: False if only the connection's end can tell where the body ends.
-        complete: Whether the body's proper end has been seen.
+        framed: Whether the headers delimit the body; otherwise it ends with the connection.
+        complete: Whether the end of the body has been received.
     """
 
-    __slots__ = ("_connection", "framed", "headers", "status", "whole")
+    __slots__ = ("_connection", "framed", "headers", "status", "complete")
 
     def __init__(
         self, connection: ClientConnection, status: int, headers: dict[str, str], framed: bool
     ) -> None:
-        """Wire an answer to the connection it comes from."""
+        """Wrap the response that arrives on a connection."""
         self._connection = connection
         self.status = status
         self.headers = headers
@@ -227,10 +228,10 @@
         self.complete = False
 
     async def read(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Raises:
-            errors.UpstreamError: If the body is cut, or longer than the limit.
+            errors.UpstreamError: If the body is truncated or exceeds the size limit.
         """
         parts: list[bytes] = []
         size = 0
@@ -240,25 +241,25 @@
             if size > self._connection.body_bytes:
                 await self._connection.reset()
                 raise errors.UpstreamError(
-                    f"The answer is longer than {self._connection.body_bytes} bytes.",
-                    remedy="Raise the limit, or ask the upstream for less.",
+                    f"The response body is larger than {self._connection.body_bytes} bytes.",
+                    remedy="Raise the limit, or request a smaller response.",
                 )
         return b"".join(parts)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body's bytes as they come.
+        """Yield the body's bytes as they arrive.
 
         Raises:
-            errors.UpstreamError: If the connection ends before the body's proper end.
+            errors.UpstreamError: If the connection ends before the body is complete.
         """
         while part := await self.next_chunk():
             yield part
 
     async def next_chunk(self) -> bytes:
-        """Return the body's next bytes; none at all after its proper end.
+        """Return the next bytes of the body; empty once the body is complete.
 
         Raises:
-            errors.UpstreamError: If the connection ends before that.
+            errors.UpstreamError: If the connection ends before the body is complete.
         """
         if self.complete:
             return b""
@@ -269,12 +270,12 @@
             raise
 
     async def close(self) -> None:
-        """Cut the connection if the body was not read to its end."""
+        """Reset the connection if the body was not read to its end."""
         if not self.complete:
             await self._connection.reset()
 
     async def _next_chunk(self) -> bytes:
-        """Join what one read brought, so that many small chunks cost one write further on."""
+        """Join all chunks of one read, so that the caller can forward them in one write."""
         event: h11.Event | None = await self._connection.next_event()
         parts: list[bytes] = []
         while isinstance(event, h11.Data):
@@ -285,17 +286,19 @@
             self.complete = True
             await self._connection.release()
         elif event is not None:
-            raise self._connection.failure("it closed in the middle of its answer")
+            raise self._connection.failure("connection closed during the response")
         return b"".join(parts)
 
     def _check_end(self) -> None:
-        """Refuse an end that a failure would look the same as."""
+        """Reject an end of connection that can't be told from a failure."""
         if not self.framed and "close" not in self.headers.get("connection", "").lower():
-            raise self._connection.failure("its answer has neither a length nor a marked end")
+            raise self._connection.failure(
+                "response has neither Content-Length, chunked encoding nor Connection: close"
+            )
 
 
 def _idle_s(keep_alive: str) -> float:
-    """Return how long an idle connection may be used, by the upstream's Keep-Alive header."""
+    """Return how long a connection may stay idle according to the Keep-Alive header."""
     found = _TIMEOUT.search(keep_alive)
     if found is None:
         return math.inf
--- a/src/medlarfork/http/_http_stream.py
+++ b/src/medlarfork/http/_http_stream.py
@@ -1,4 +1,4 @@
-"""Read and write a TCP socket under curio, with deadlines kept by one sweeping task."""
+"""TCP streams under curio, whose deadlines are enforced by one shared task."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from curio import traps
 
 READ_SIZE = 64 * 1024
-"""Most bytes taken from a socket at once."""
+"""Maximum bytes per read from a socket."""
 
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """Value of SO_LINGER that makes ``close`` send a reset."""
 
 _CLOSED_BY_PEER_STATES = frozenset({7, 8, 9, 10, 11})
-"""TCP states (Linux ``TCP_CLOSE`` to ``TCP_CLOSING``) in which the peer has sent its end."""
+"""TCP states (Linux ``TCP_CLOSE`` to ``TCP_CLOSING``) in which the peer has sent a FIN or RST."""
 
 
 class _Descriptor:
-    """Stand for a socket in curio's selector.
+    """File object that represents a socket in curio's selector.
 
-    The selector formats its file object whenever it is not registered, which is the case before
-    each wait; that of a socket asks the system for both addresses.
+    The selector calls ``repr`` on a file object that is not registered, which is the case before
+    each wait. The ``repr`` of a socket costs two system calls, for both addresses.
     """
 
     __slots__ = ("_number",)
@@ -38,18 +38,19 @@
         return "descriptor"
 
     def fileno(self) -> int:
-        """Return the number that the system knows the socket by."""
+        """Return the file descriptor."""
         return self._number
 
 
 class Stream:
-    """Wrap one connected socket; the task that uses it closes it.
+    """Connected socket, owned by the task that uses it.
 
-    Other tasks may only ``expire`` or ``interrupt_reading``: closing a descriptor on which a task
-    waits would leave that task asleep.
+    Other tasks may only ``expire`` or ``interrupt_reading`` it: if they closed a descriptor on
+    which the owner waits, the owner would never wake up.
 
     Attributes:
-        expired: Whether a deadline has passed; reads then end and writes fail.
+        expired: Whether the deadline has passed; reads then return end of stream and stalled
+            writes fail.
         deadline_at: Monotonic time at which the sweeper expires the stream, in seconds.
     """
 
@@ -71,13 +72,13 @@
         stall_s: float = math.inf,
         unacknowledged_s: float = 0.0,
     ) -> None:
-        """Take over a connected socket.
+        """Take ownership of a connected socket.
 
         Args:
             connected: The socket; it is made non-blocking.
-            stall_s: How long a write may make no progress, in seconds.
-            unacknowledged_s: How long the peer may acknowledge nothing before the system gives
-                the connection up, in seconds; 0 for the system's own time.
+            stall_s: Timeout of a write that makes no progress, in seconds.
+            unacknowledged_s: Timeout for unacknowledged data (TCP_USER_TIMEOUT), in seconds; 0
+                for the system's default.
         """
         connected.setblocking(False)
         connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -94,34 +95,34 @@
         self.deadline_at = math.inf
 
     def arm(self, seconds: float) -> None:
-        """Let the stream expire after ``seconds``, unless armed again or disarmed."""
+        """Set the deadline to ``seconds`` from now, in place of any earlier one."""
         self.deadline_at = time.monotonic() + seconds
 
     def disarm(self) -> None:
-        """Take the deadline back."""
+        """Clear the deadline."""
         self.deadline_at = math.inf
 
     def expire(self) -> None:
-        """End reading at once, and writing if it is stalled; wake up the tasks that wait."""
+        """Shut down reading, and writing if a write is waiting; wakes up the waiting tasks."""
         self.expired = True
         self.deadline_at = math.inf
         self._shutdown(socket.SHUT_RDWR if self._writing else socket.SHUT_RD)
 
     def interrupt_reading(self) -> None:
-        """Let reads end once the bytes already received are taken; writing goes on."""
+        """Shut down reading: bytes already received can still be read, and writing continues."""
         self._shutdown(socket.SHUT_RD)
 
     def end_writing(self) -> None:
-        """Tell the peer that nothing more comes."""
+        """Shut down writing, so that the peer sees the end of the stream."""
         self._shutdown(socket.SHUT_WR)
 
     async def receive(self) -> bytes:
-        """Return the bytes that came, at least one; none at all at the end.
+        """Return the next bytes; empty at the end of the stream.
 
         Raises:
             OSError: If the connection was reset.
         """
-        # After a read that got less than it asked for, another one at once would find nothing.
+        # The last read emptied the receive buffer, so another one would most likely fail.
         if self._drained:
             await traps._read_wait(self._descriptor)
         while True:
@@ -134,10 +135,10 @@
             return data
 
     def send_now(self, data: bytes | memoryview) -> int:
-        """Write what the socket takes without waiting, and return how many bytes that was.
+        """Write as much as possible without waiting, and return the number of bytes written.
 
         Raises:
-            OSError: If the connection can't be written to any more.
+            OSError: If the connection can no longer be written to.
         """
         try:
             return self._socket.send(data)
@@ -145,13 +146,13 @@
             return 0
 
     async def send(self, data: bytes) -> None:
-        """Write all bytes, waiting for the peer where it reads slowly.
+        """Write all bytes, waiting while the peer reads slowly.
 
-        What a cancelled call has not written goes out first with the next one, so that a message
-        is never continued in the middle of an unfinished part.
+        Bytes that a cancelled call left unsent are written first by the next call, so that a
+        message never continues in the middle of an unfinished chunk.
 
         Raises:
-            OSError: If the connection can't be written to, or made no progress for too long.
+            OSError: If the connection can't be written to, or a write stalls for too long.
         """
         if self._unsent:
             data, self._unsent = self._unsent + data, b""
@@ -162,7 +163,7 @@
             await self.send_rest(memoryview(data)[sent:])
 
     async def send_rest(self, rest: memoryview) -> None:
-        """Write what ``send_now`` left over; each progress renews the time allowed.
+        """Write what ``send_now`` left over; any progress restarts the stall timeout.
 
         Raises:
             OSError: As for ``send``.
@@ -174,7 +175,7 @@
                 self.deadline_at = min(previous_deadline, time.monotonic() + self._stall_s)
                 await traps._write_wait(self._descriptor)
                 if self.expired:
-                    raise TimeoutError("the peer does not read")
+                    raise TimeoutError("write timed out: the peer does not read")
                 sent = self.send_now(rest)
                 rest = rest[sent:]
             self.deadline_at = previous_deadline
@@ -186,7 +187,7 @@
             self._writing = False
 
     def is_dead(self) -> bool:
-        """Return whether an idle connection has ended or holds bytes nobody asked for."""
+        """Return whether an idle connection has ended or received unexpected bytes."""
         try:
             self._socket.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -196,7 +197,7 @@
         return True
 
     def is_closed_by_peer(self) -> bool:
-        """Return whether the peer has closed, even if unread bytes come before its end."""
+        """Return whether the peer has closed, even if unread bytes are still buffered."""
         try:
             state = self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except OSError:
@@ -204,28 +205,27 @@
         return state in _CLOSED_BY_PEER_STATES
 
     async def close(self) -> None:
-        """Close the socket; bytes already written still reach the peer."""
+        """Close the socket; bytes already written are still delivered."""
         await traps._io_release(self._descriptor)
         self._socket.close()
 
     async def reset(self) -> None:
-        """Reset the connection, so that the peer sees a failure and not an end."""
-        # The option fails where the peer has already reset the connection.
+        """Reset the connection, so that the peer sees an error instead of a regular end."""
+        # Setting the option fails if the peer has already reset the connection.
         with contextlib.suppress(OSError):
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         await self.close()
 
     def _shutdown(self, how: int) -> None:
-        # It fails on a disconnected socket, whose waiting tasks have been woken up by that.
+        # Fails on a disconnected socket; the disconnect has already woken up its waiting tasks.
         with contextlib.suppress(OSError):
             self._socket.shutdown(how)
 
 
 class Sweeper:
-    """Expire streams whose deadline has passed, with one task for all of them.
+    """Expires streams whose deadline has passed, with one task for all of them.
 
-    A timeout costs its user one attribute write; the price is that it fires up to one period
-    late.
+    Setting a timeout costs only one attribute write; in return it fires up to one period late.
     """
 
     def __init__(
@@ -238,11 +238,11 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Start sweeping."""
+        """Start the sweeping task."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
-        """Stop sweeping; deadlines pass unnoticed from now on."""
+        """Stop the sweeping task; deadlines are no longer enforced."""
         if self._task is not None:
             await self._task.cancel()
             self._task = None
--- a/src/medlarfork/http/header_names.py
+++ b/src/medlarfork/http/header_names.py
@@ -1,39 +1,39 @@
-"""Name the HTTP headers that callers, entry hosts and upstreams exchange.
+"""Names of the HTTP headers that callers, entry hosts and upstreams exchange.
 
-Names are as they are sent; a message that was read has its header names in lower case.
+Names are as they are sent; the header names of a received message are in lower case.
 """
 
 from __future__ import annotations
 
 LABELS = "Medlar-Labels"
-"""Labels that the caller gives its request."""
+"""Labels that the caller attaches to its request."""
 
 KEY = "Idempotency-Key"
-"""Key under which a not-repeatable request runs at most once."""
+"""Key that ensures that a non-repeatable request runs at most once."""
 
 REQUEST_ID = "Medlar-Request-Id"
-"""The entry host's id of a request, the same in all its attempts."""
+"""Request id assigned by the entry host, the same for all attempts."""
 
 ATTEMPT_ID = "Medlar-Attempt-Id"
 """Id of one attempt of a request."""
 
 PRIORITY = "Medlar-Priority"
-"""The request's tier; a lower number goes first."""
+"""The request's tier; a lower number has higher priority."""
 
 RESUME_OFFSET = "Medlar-Resume-Offset"
-"""Asks an engine for the rest of an answer and, in its reply, proves where it goes on."""
+"""Offset from which an engine is asked to continue a response; its reply confirms the offset."""
 
 OUTCOME = "Medlar-Outcome"
-"""What became of the request: one of ``request.Outcome``."""
+"""Outcome of the request: a value of ``request.Outcome``."""
 
 REPLAYED = "Medlar-Replayed"
-"""Marks an answer that was stored when the request ran the first time."""
+"""Marks a stored response, replayed from the first execution of the request."""
 
 ENTRIES = "Medlar-Entries"
-"""Names other entry hosts that the caller can use instead, separated by commas."""
+"""Comma-separated list of other entry hosts that the caller can use instead."""
 
 RETRY_AFTER = "Retry-After"
-"""Whole seconds after which the caller may try again."""
+"""Time after which the caller may retry, in whole seconds."""
 
 RETRY_AFTER_MS = "Retry-After-Ms"
-"""The same in milliseconds."""
+"""Time after which the caller may retry, in milliseconds."""
--- a/src/medlarfork/http/http_client.py
+++ b/src/medlarfork/http/http_client.py
@@ -1,4 +1,4 @@
-"""Send HTTP/1.1 requests under curio over pooled connections."""
+"""HTTP/1.1 client under curio with pooled connections."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 Reachability = _http_pool.Reachability
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
-"""Methods whose requests state a length even if it is 0."""
+"""Methods whose requests always have a Content-Length, even of 0."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Outgoing:
-    """Hold a request that is ready to be written."""
+    """Request that is ready to be written."""
 
     address: str
     head: h11.Request
@@ -29,13 +29,13 @@
 
 
 class HttpClient:
-    """Send requests, reusing connections that were left whole.
+    """HTTP client that reuses connections.
 
-    A request is never sent twice: a connection that fails after a byte was written is reported.
+    It never retries a request: a failure after the first byte was written is raised to the caller.
     """
 
     def __init__(self, *, limits: ClientLimits = ClientLimits()) -> None:  # noqa: B008 - frozen
-        """Make a client; ``start`` must be awaited before the first request."""
+        """Create a client; ``start`` must be awaited before the first request."""
         self._limits = limits
         self._pool = _http_pool.ConnectionPool(limits)
 
@@ -46,19 +46,19 @@
 
     @property
     def idle_connections(self) -> int:
-        """Return the number of connections kept for reuse."""
+        """Return the number of idle connections."""
         return self._pool.idle_connections
 
     async def start(self) -> None:
-        """Start the task that keeps deadlines."""
+        """Start the task that enforces deadlines."""
         await self._pool.start()
 
     async def close(self) -> None:
-        """Close idle connections and end exchanges in progress."""
+        """Close idle connections and abort exchanges in progress."""
         await self._pool.close()
 
     async def reach(self, address: str, *, within_s: float) -> Reachability:
-        """Say whether anybody listens at ``http://IP:PORT``, in ``within_s`` seconds at most."""
+        """Probe whether a process listens at ``http://IP:PORT``, with a timeout in seconds."""
         return await self._pool.reach(address, within_s)
 
     async def request(
@@ -72,20 +72,21 @@
         timeout_s: float | None = None,
         may_send: Callable[[], bool] | None = None,
     ) -> Response:
-        """Send a request and return its answer once the head of that is in.
+        """Send a request and return the response once its head has arrived.
 
         Args:
             address: ``http://IP:PORT``.
             method: HTTP method.
-            target: Path, with the query if any.
-            headers: Headers; those that concern the connection are set here.
-            body: The whole body.
-            timeout_s: Time to the end of the answer's body, in seconds.
-            may_send: Asked once there is a connection, which can take as long as a lost packet.
+            target: Path with the query, if any.
+            headers: Headers; hop-by-hop headers are replaced by the client's own.
+            body: The complete body.
+            timeout_s: Timeout to the end of the response body, in seconds.
+            may_send: Called once connected, just before sending; False withdraws the request.
+                Connecting takes long if a packet is lost, so the request may be obsolete by then.
 
         Raises:
-            errors.RequestWithdrawnError: If ``may_send`` said no; no byte of the request left.
-            errors.RequestNotSentError: If no byte of the request left.
+            errors.RequestWithdrawnError: If ``may_send`` returned False; no byte was sent.
+            errors.RequestNotSentError: If no byte of the request was sent.
             errors.UpstreamError: If the exchange failed after that.
         """
         outgoing = _prepare(address, method, target, headers, body)
@@ -95,7 +96,7 @@
             await self._pool.keep(connection)
             raise errors.RequestWithdrawnError(
                 "The request was withdrawn before it was sent.",
-                remedy="Send it elsewhere.",
+                remedy="Send it to another upstream.",
             )
         try:
             return await connection.exchange(outgoing.head, outgoing.body, deadline_at)
@@ -110,7 +111,7 @@
     """Build a request.
 
     Raises:
-        errors.RequestNotSentError: If it can't be expressed in HTTP/1.1.
+        errors.RequestNotSentError: If it is not valid in HTTP/1.1.
     """
     try:
         lines = [
@@ -124,7 +125,7 @@
         head = h11.Request(method=method, target=target, headers=lines)
     except (h11.LocalProtocolError, UnicodeError) as error:
         raise errors.RequestNotSentError(
-            f"The request can't be expressed in HTTP/1.1: {error}.",
+            f"The request is not valid HTTP/1.1: {error}.",
             remedy="Correct its method, target or headers.",
             code=errors.Code.BAD_REQUEST,
         ) from error
--- a/src/medlarfork/http/http_server.py
+++ b/src/medlarfork/http/http_server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 under curio, within limits that no caller can break."""
+"""HTTP/1.1 server under curio, with limits on what callers may use."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 FaultReporter = _http_connection.FaultReporter
 
 _MAX_REFUSALS = 64
-"""Connections beyond the limit that are told so at once; further ones are just closed."""
+"""Connections beyond the limit that get an error response at the same time; more are reset."""
 
 _ACCEPT_RETRY_S = 0.1
-"""Pause after the system refused a descriptor, in seconds."""
+"""Delay before accepting again after an error, such as no free descriptors, in seconds."""
 
 _MAX_SWEEP_PERIOD_S = 0.25
-"""Deadlines are met at most this late, in seconds."""
+"""Maximum interval between checks of deadlines, and so their maximum delay, in seconds."""
 
 _MIN_SWEEP_PERIOD_S = 0.01
-"""Deadlines are checked at most this often, in seconds."""
+"""Minimum interval between checks of deadlines, in seconds."""
 
 _log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
 
 
 class HttpServer:
-    """Accept connections and give each request to a handler."""
+    """HTTP server that passes each request to a handler."""
 
     def __init__(
         self,
@@ -57,15 +57,15 @@
         report: FaultReporter = _log_fault,
         listening: socket.socket | None = None,
     ) -> None:
-        """Wire the server.
+        """Create the server; ``start`` makes it listen.
 
         Args:
-            handler: Answers one exchange.
-            host: IP number to listen on.
+            handler: Handles one exchange by writing its response.
+            host: IP address to listen on.
             port: TCP port; 0 lets the system choose.
-            limits: What callers may use.
-            report: Is told of exceptions that the handler did not expect.
-            listening: Socket that listens at the address already (see ``listener``).
+            limits: Limits on what callers may use.
+            report: Receives the unexpected exceptions of the handler.
+            listening: Socket that already listens at the address (see ``listener``).
         """
         self._handler = handler
         self._listening = listening
@@ -83,7 +83,7 @@
 
     @property
     def address(self) -> str:
-        """Return ``http://IP:PORT`` with the real port."""
+        """Return ``http://IP:PORT`` with the actual port."""
         host = f"[{self._host}]" if ":" in self._host else self._host
         return f"http://{host}:{self._port}"
 
@@ -98,7 +98,7 @@
         return self._exchanges
 
     async def start(self) -> None:
-        """Listen and accept.
+        """Start to listen and to accept connections.
 
         Raises:
             errors.SettingsError: If the address can't be listened on.
@@ -110,10 +110,10 @@
         self._acceptor = await curio.spawn(self._accept, listening, daemon=True)
 
     async def close(self, *, within_s: float) -> None:
-        """Stop accepting, let exchanges in progress finish, and cut what is left.
+        """Stop accepting, let exchanges in progress finish, and cancel those that remain.
 
         Args:
-            within_s: How long the exchanges may take, in seconds.
+            within_s: Grace period for the exchanges, in seconds.
         """
         await self._stop_accepting()
         cut_at = time.monotonic() + within_s
@@ -133,7 +133,8 @@
             self._acceptor = None
         if self._listener is None:
             return
-        # Callers in the backlog believe themselves connected; closing it would reset them.
+        # Connections in the backlog look established to their callers, and closing the listener
+        # would reset them.
         with contextlib.suppress(OSError):
             while await self._accept_one(self._listener):
                 pass
@@ -151,17 +152,17 @@
                 await curio.sleep(_ACCEPT_RETRY_S)
 
     async def _accept_one(self, listening: socket.socket) -> bool:
-        """Take a connection from the backlog; return whether there may be more.
+        """Accept a connection from the backlog; return whether there may be more.
 
         Raises:
-            OSError: If the system has no descriptor left.
+            OSError: If the system has no free descriptor.
         """
         try:
             accepted, _ = listening.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except ConnectionError:
-            return True  # The caller went before it was accepted.
+            return True  # The caller disconnected before it was accepted.
         await self._take(accepted)
         return True
 
@@ -211,7 +212,7 @@
 
     async def _run_refusal(self, connection: _http_connection.Connection) -> None:
         error = errors.HttpLimitError(
-            f"This host serves {self._limits.connections} connections already.",
+            f"This host already serves its limit of {self._limits.connections} connections.",
             remedy="Use another entry host, or try again later.",
             code=errors.Code.OVERLOADED,
         )
@@ -231,11 +232,13 @@
     limits: HttpLimits = HttpLimits(),  # noqa: B008 - frozen
     listening: socket.socket | None = None,
 ) -> HttpServer:
-    """Return a server for ``IP:PORT``, as settings give addresses."""
+    """Return a server for an address of the form ``IP:PORT``, as in settings."""
     host, _, port = address.rpartition(":")
     return HttpServer(handler, host=host, port=int(port), limits=limits, listening=listening)
 
 
 def _sweep_period(limits: HttpLimits) -> float:
-    shortest = min(limits.header_s, limits.body_s, limits.idle_s, limits.stall_s, limits.linger_s)
-    return min(max(shortest / 4, _MIN_SWEEP_PERIOD_S), _MAX_SWEEP_PERIOD_S)
+    min_timeout_s = min(
+        limits.header_s, limits.body_s, limits.idle_s, limits.stall_s, limits.linger_s
+    )
+    return min(max(min_timeout_s / 4, _MIN_SWEEP_PERIOD_S), _MAX_SWEEP_PERIOD_S)
--- a/src/medlarfork/http/listener.py
+++ b/src/medlarfork/http/listener.py
@@ -1,8 +1,9 @@
-"""Open the socket that a server accepts connections from.
+"""Listening sockets of servers.
 
-A program may do so long before its server starts: callers then wait in the system's queue instead
-of being refused. After all processes were killed at once, those that are refused meet the same at
-every other host, and few try more than twice.
+A program may open its socket long before its server starts, so that connections wait in the
+backlog instead of being refused. This matters after all processes were killed at once: a caller
+that is refused by one host is then refused by every other host, and few callers retry more than
+twice.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from medlarfork import errors
 
 BACKLOG = 1024
-"""Connections the system holds until they are accepted."""
+"""Maximum number of connections that the system queues until they are accepted."""
 
 
 def open_at(host: str, port: int) -> socket.socket:
-    """Return a socket that listens and does not block.
+    """Return a non-blocking socket that listens.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 lets the system choose.
 
     Raises:
@@ -37,13 +38,13 @@
         shown = f"[{host}]" if ":" in host else host
         raise errors.SettingsError(
             f"Can't listen on http://{shown}:{port}: {error.strerror}.",
-            remedy="Set an address of this host and a free port.",
+            remedy="Configure an address of this host and a free port.",
         ) from error
     return listener
 
 
 def open_address(address: str) -> socket.socket:
-    """Return a socket that listens at ``IP:PORT``, as settings give addresses.
+    """Return a socket that listens at an address of the form ``IP:PORT``, as in settings.
 
     Raises:
         errors.SettingsError: The address can't be listened on.
--- a/src/medlarfork/http/sse.py
+++ b/src/medlarfork/http/sse.py
@@ -1,4 +1,4 @@
-"""Split a stream of server-sent events into events, however its bytes are cut up."""
+"""Incremental parser and encoder of server-sent events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from medlarfork import errors
 
 MEDIA_TYPE = "text/event-stream"
-"""Content type of a stream of events."""
+"""Content type of an event stream."""
 
 DONE = "[DONE]"
 """Data of the event that ends a stream of the OpenAI API."""
@@ -16,20 +16,20 @@
 _LINE_FEED = b"\n"
 _CARRIAGE_RETURN = b"\r"
 _MAX_EVENT_BYTES = 1 << 20
-"""Longest event that is accepted, in bytes."""
+"""Default maximum size of an event, in bytes."""
 
 _PLAIN_EVENT = re.compile(rb"(?:id: ([^\r\n]+)\n)?data: ([^\r\n]*)\n\n")
-"""An event in the very form that ``encode`` writes, as most engines send them."""
+"""An event exactly as ``encode`` writes it, which is the form that most engines send."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """Hold one event.
+    """Server-sent event.
 
     Attributes:
-        data: The event's data; its lines are joined by line feeds.
-        id: The event's own id; empty if it has none.
-        plain: The event's bytes if they are what ``encode`` would write; else empty.
+        data: The event's data, with lines joined by line feeds.
+        id: The event's id; empty if it has none.
+        plain: The received bytes if they equal what ``encode`` would write; else empty.
     """
 
     data: str
@@ -38,13 +38,13 @@
 
 
 class EventParser:
-    """Turn bytes into events; holds at most the bytes of one event."""
+    """Incremental parser of an event stream; buffers at most one event."""
 
     def __init__(self, *, event_bytes: int = _MAX_EVENT_BYTES) -> None:
-        """Start at the beginning of a stream.
+        """Create a parser at the start of a stream.
 
         Args:
-            event_bytes: Largest event, in bytes.
+            event_bytes: Maximum size of an event, in bytes.
         """
         self._event_bytes = event_bytes
         self._buffer = bytearray()
@@ -55,7 +55,7 @@
 
     @property
     def pending(self) -> bool:
-        """Return whether an event has begun and not ended; it would be cut if the stream ended."""
+        """Return whether an incomplete event is buffered, lost if the stream ended here."""
         return bool(self._buffer or self._data)
 
     def feed(self, data: bytes) -> tuple[Event, ...]:
@@ -82,12 +82,12 @@
         return tuple(events)
 
     def _parse_plain(self, data: bytes, events: list[Event]) -> int:
-        """Add the plain events that the bytes begin with, and return where these end."""
+        """Append the plain events at the start of ``data``, and return the offset of their end."""
         end = 0
         while (found := _PLAIN_EVENT.match(data, end)) is not None:
             plain = found[0]
             if len(plain) > self._event_bytes:
-                break  # Only the slow way counts exactly.
+                break  # The general parser counts the size exactly.
             events.append(Event(_decode(found[2]), _decode(found[1] or b""), plain))
             end += len(plain)
         return end
@@ -114,7 +114,7 @@
         if size > self._event_bytes:
             raise errors.UpstreamError(
                 f"The upstream sent an event of more than {self._event_bytes} bytes.",
-                remedy="Check what the upstream streams.",
+                remedy="Check the event stream of the upstream.",
             )
 
 
@@ -124,11 +124,11 @@
     except UnicodeDecodeError as error:
         raise errors.UpstreamError(
             "The upstream sent an event that is not UTF-8.",
-            remedy="Check what the upstream streams.",
+            remedy="Check the event stream of the upstream.",
         ) from error
 
 
 def encode(data: str, event_id: str = "") -> bytes:
-    """Return the bytes of an event whose data has no line breaks."""
+    """Return the encoded event; its data must have no line breaks."""
     head = f"id: {event_id}\n" if event_id else ""
     return f"{head}data: {data}\n\n".encode()
--- a/src/medlarfork/labels.py
+++ b/src/medlarfork/labels.py
@@ -1,4 +1,4 @@
-"""Attach labels to things and select things by their labels."""
+"""Labels, and selectors that match sets of labels."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OneOf:
-    """Require that a label is present with one of some values."""
+    """Requirement that a label is present and has one of the values."""
 
     key: str
     values: frozenset[str]
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoneOf:
-    """Require that a label is absent or has none of some values."""
+    """Requirement that a label is absent or has none of the values."""
 
     key: str
     values: frozenset[str]
@@ -32,14 +32,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Present:
-    """Require that a label is present with any value."""
+    """Requirement that a label is present, with any value."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Absent:
-    """Require that a label is absent."""
+    """Requirement that a label is absent."""
 
     key: str
 
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Selector:
-    """Match label sets that meet every requirement; an empty selector matches all."""
+    """A conjunction of requirements on labels; an empty selector matches every set of labels."""
 
     text: str
     requirements: tuple[Requirement, ...]
@@ -66,14 +66,15 @@
 
     def matches(self, labels: Mapping[str, str]) -> bool:
         """Return whether the labels meet every requirement."""
-        # A plain loop: every request meets every class's selector until one matches.
+        # A plain loop is faster than ``all``: this runs for every request and each class's selector
+        # until one matches.
         for requirement in self.requirements:  # noqa: SIM110
             if not _meets(requirement, labels):
                 return False
         return True
 
     def overlaps(self, other: Selector) -> bool:
-        """Return whether some label set could match both selectors."""
+        """Return whether some set of labels could match both selectors."""
         return not any(
             _disjoint(mine, theirs) or _disjoint(theirs, mine)
             for mine in self.requirements
@@ -83,10 +84,10 @@
 
 
 def check_label(key: str, value: str) -> None:
-    """Check one label's key and value.
+    """Validate the key and value of a label.
 
     Raises:
-        errors.SelectorSyntaxError: The key or the value has a character that is not allowed.
+        errors.SelectorSyntaxError: The key or the value contains a character that is not allowed.
     """
     _checked(_KEY, key, "label key")
     _checked(_VALUE, value, "label value")
@@ -127,7 +128,7 @@
 
 
 def _meets(requirement: Requirement, labels: Mapping[str, str]) -> bool:
-    # Patterns without captures, since every request runs this for many requirements.
+    # Patterns without captures are faster; every request runs this for many requirements.
     match requirement:
         case OneOf():
             return labels.get(requirement.key) in requirement.values
--- a/src/medlarfork/links/_link_sockets.py
+++ b/src/medlarfork/links/_link_sockets.py
@@ -11,7 +11,7 @@
 from medlarfork.links import _zap, keys
 
 ROUTE_SEPARATOR = b"/"
-"""Stands between the name and the random part of a routing id."""
+"""Separates the name and the random part of a routing id."""
 
 _NONCE_BYTES = 8
 """Size of the random part of a routing id."""
@@ -19,21 +19,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """Bound what a link holds and how long it takes to notice a lost peer.
+    """Limits and timeouts of a link.
 
     Attributes:
-        queue_limit: Messages queued for each peer, each way, and received but not yet taken.
-        message_bytes: Largest message that is sent or accepted, in bytes.
-        route_limit: Peers that can be answered without a connection of our own.
-        socket_limit: Sockets at once; bounds the peers connected to.
+        queue_limit: Maximum messages queued per peer and direction, and in the inbox.
+        message_bytes: Maximum size of a message that is sent or accepted, in bytes.
+        route_limit: Maximum peers that can be answered over connections that they opened.
+        socket_limit: Maximum open sockets; limits the number of peers connected to.
         heartbeat_s: Time between heartbeats on each connection, in seconds.
-        idle_timeout_s: Silence after which a connection is given up, in seconds; a peer that takes
-            nothing for so long is silent too.
-        reconnect_s: First wait before a reconnect, in seconds.
-        max_reconnect_s: Longest wait before a reconnect, in seconds.
-        connect_timeout_s: Time after which an attempt to connect is given up and a new one begun, in
-            seconds. The system repeats a lost opening packet after 1, 2, 4 and more seconds, so
-            an attempt that began while the network was cut ends long after it is whole again.
+        idle_timeout_s: Time without traffic after which a connection is closed, in seconds; also
+            applies to a peer that reads nothing for so long.
+        reconnect_s: Initial delay before a reconnect, in seconds.
+        max_reconnect_s: Maximum delay before a reconnect, in seconds.
+        connect_timeout_s: Timeout of an attempt to connect, after which a new one is started, in
+            seconds. The kernel resends a lost SYN after 1, 2, 4 and more seconds, so an attempt
+            that started during a network partition would end long after the partition has healed.
         linger_s: How long ``close`` may wait for messages that have just been sent, in seconds.
     """
 
@@ -50,7 +50,7 @@
 
 
 class LinkSockets:
-    """Open sockets with the bounds and times of one link."""
+    """Open sockets with the options of one link."""
 
     def __init__(self, context: zmq.Context, options: LinkOptions) -> None:
         """Prepare for one ZeroMQ context."""
@@ -58,15 +58,16 @@
         self._options = options
 
     def open_router(self, address: str, own: keys.LinkKeys | None) -> zmq.Socket:
-        """Listen for peers.
+        """Return a ROUTER socket that listens for peers.
 
         Raises:
             zmq.ZMQError: The address can't be bound.
         """
         socket = self._open(zmq.ROUTER, own)
-        # A peer that reconnects after a silent cut takes its route back from the dead connection.
+        # A peer that reconnects after a silent connection loss takes over its route from the dead
+        # connection.
         socket.router_handover = 1
-        # Without this a message to a route that is gone would vanish uncounted.
+        # Without this, a message to a route that no longer exists would be lost without an error.
         socket.router_mandatory = 1
         if own is not None:
             socket.zap_domain = _zap.ZAP_DOMAIN
@@ -82,7 +83,7 @@
     def open_dealer(
         self, identity: str, peer_id: str, address: str, own: keys.LinkKeys | None
     ) -> zmq.Socket:
-        """Connect to a peer.
+        """Return a DEALER socket that connects to a peer.
 
         Raises:
             errors.LinkError: The peer's public key is not known.
@@ -111,7 +112,7 @@
         socket.heartbeat_ivl = _milliseconds(options.heartbeat_s)
         socket.heartbeat_timeout = _milliseconds(options.idle_timeout_s)
         socket.heartbeat_ttl = _milliseconds(options.idle_timeout_s)
-        # A refused peer is cut only when the handshake times out, and then tries again.
+        # A refused peer is only disconnected when the handshake times out, and then retries.
         socket.handshake_ivl = _milliseconds(options.idle_timeout_s)
         socket.tcp_keepalive = 1
         socket.connect_timeout = _milliseconds(options.connect_timeout_s)
@@ -134,10 +135,10 @@
 
 
 def _new_routing_id(identity: str) -> bytes:
-    """Return a routing id for one connection.
+    """Return a new routing id for one connection.
 
-    Its random part is known to this peer only, so that no other holder of a key can take the
-    connection over there.
+    Only this peer knows its random part, so that no other holder of a known key can take over the
+    connection's route.
     """
     nonce = os.urandom(_NONCE_BYTES).hex()
     return identity.encode() + ROUTE_SEPARATOR + nonce.encode()
--- a/src/medlarfork/links/_zap.py
+++ b/src/medlarfork/links/_zap.py
@@ -1,4 +1,4 @@
-"""Decide which keys may open links, for the authentication protocol of ZeroMQ (ZAP)."""
+"""Authenticate connections by public key, with the ZeroMQ Authentication Protocol (ZAP)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from medlarfork.links import _zmq_poller
 
 ZAP_ADDRESS = "inproc://zeromq.zap.01"
-"""Where ZeroMQ asks its context's authenticator."""
+"""Address at which ZeroMQ sends requests to the authenticator of a context."""
 
 ZAP_DOMAIN = b"medlarfork"
 """Name of the authentication domain of all links."""
@@ -21,11 +21,11 @@
 _NO_REQUEST_ID = b""
 _ACCEPTED = b"200"
 _TRY_AGAIN = b"300"
-"""Refuse, but let the peer reconnect: its key may be copied here later."""
+"""Refuse temporarily: the peer keeps reconnecting, as its key may be copied here later."""
 
 
 class ZapServer:
-    """Answer whether a public key is known, and by which name.
+    """Answer ZAP requests: whether a public key is known, and under which name.
 
     Attributes:
         refused: Connections refused since the start.
@@ -42,11 +42,11 @@
         self.update_keys(public_by_name)
 
     def update_keys(self, public_by_name: dict[str, bytes]) -> None:
-        """Let in these keys from now on."""
+        """Accept exactly these keys from now on."""
         self._name_by_public = {public: name for name, public in public_by_name.items()}
 
     async def start(self) -> None:
-        """Start to answer; call it before any socket of the context is bound."""
+        """Start to answer requests; call it before any other socket of the context is bound."""
         self._socket = self._context.socket(zmq.REP)
         self._socket.linger = 0
         self._socket.bind(ZAP_ADDRESS)
@@ -55,7 +55,7 @@
         self._task = await curio.spawn(self._serve, daemon=True)
 
     async def close(self) -> None:
-        """Stop answering and close the socket."""
+        """Stop answering requests and close the socket."""
         if self._task is None or self._poller is None or self._socket is None:
             return
         await self._task.cancel()
@@ -65,7 +65,7 @@
         self._socket.close()
 
     def answer(self, frames: list[bytes]) -> list[bytes]:
-        """Return the answer to one question."""
+        """Return the frames of the reply to one request."""
         request_id = frames[_REQUEST_ID] if len(frames) > _REQUEST_ID else _NO_REQUEST_ID
         name = self._name_of(frames)
         if name is None:
@@ -85,6 +85,6 @@
         while True:
             for ready in await self._poller.wait():
                 ready.send_multipart(self.answer(ready.recv_multipart(zmq.NOBLOCK)))
-                # The next question may have arrived with the edge that the send used up.
+                # The send may have consumed the edge that announced the next request.
                 self._poller.mark_pending(ready)
             await curio.sleep(0)
--- a/src/medlarfork/links/_zmq_poller.py
+++ b/src/medlarfork/links/_zmq_poller.py
@@ -1,9 +1,9 @@
-"""Wait for ZeroMQ sockets under curio.
+"""Poll ZeroMQ sockets for received messages under curio.
 
 A ZeroMQ socket's file descriptor is edge-triggered: it becomes readable when something changes,
-and reading ``zmq.EVENTS`` or sending may use that edge up. One task therefore waits for all
-sockets of a link through one selector, always reads ``zmq.EVENTS`` before it sleeps, and is told
-by ``mark_pending`` of a socket whose edge a send has used up.
+and reading ``zmq.EVENTS`` or sending may consume that edge. One task therefore waits for all
+sockets of a link through one selector, always reads ``zmq.EVENTS`` before it sleeps, and is
+notified with ``mark_pending`` of a socket whose edge a send has consumed.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 import zmq
 
 _WAKE_BYTES = 4096
-"""Most wake-up bytes that are read at once."""
+"""Maximum number of wake-up bytes that are read at once."""
 
 
 _READABLE = int(zmq.POLLIN)
-"""The library's own constant takes several times as long to compare with."""
+"""A plain integer, since comparing with the library's enum constant takes several times as long."""
 
 
 class ZmqPoller:
-    """Collect the sockets that have something to receive; one task calls ``wait``."""
+    """Poll sockets for messages to receive; only one task may call ``wait``."""
 
     def __init__(self) -> None:
-        """Open the selector and the pair that ``mark_pending`` wakes the waiting task with."""
+        """Open the selector and the socket pair for waking up the waiting task."""
         self._selector = selectors.DefaultSelector()
         self._wake_reader, self._wake_writer = socket.socketpair()
         self._wake_reader.setblocking(False)
@@ -36,31 +36,31 @@
         self._marked: dict[int, zmq.Socket] = {}
 
     def close(self) -> None:
-        """Close what was opened; the waiting task must have ended and the sockets be removed."""
+        """Close the selector and the pair; the waiting task and the sockets must be gone."""
         self._selector.close()
         self._wake_reader.close()
         self._wake_writer.close()
 
     def add(self, zmq_socket: zmq.Socket) -> None:
-        """Watch a socket from now on."""
+        """Start to poll a socket."""
         self._selector.register(zmq_socket.FD, selectors.EVENT_READ, zmq_socket)
         self.mark_pending(zmq_socket)
 
     def remove(self, zmq_socket: zmq.Socket) -> None:
-        """Stop watching a socket; call it before the socket is closed."""
+        """Stop polling a socket; call it before the socket is closed."""
         self._selector.unregister(zmq_socket.FD)
         self._marked.pop(zmq_socket.FD, None)
 
     def mark_pending(self, zmq_socket: zmq.Socket) -> None:
-        """Have the waiting task look at a socket again, whatever its descriptor says."""
+        """Make the waiting task check a socket even if its descriptor is not readable."""
         if not self._marked:
-            # A full pair already holds a wake-up that has not been read.
+            # If the pair's buffer is full, it already holds a wake-up that has not been read.
             with contextlib.suppress(BlockingIOError):
                 self._wake_writer.send(b"\0")
         self._marked[zmq_socket.FD] = zmq_socket
 
     async def wait(self) -> tuple[zmq.Socket, ...]:
-        """Return the sockets that have something to receive, at least one."""
+        """Wait until at least one socket has a message to receive; return all that have one."""
         while True:
             ready = self._take_ready()
             if ready:
@@ -79,5 +79,5 @@
 
 
 def has_message(zmq_socket: zmq.Socket) -> bool:
-    """Return whether a socket has something to receive; uses its edge up."""
+    """Return whether a socket has a message to receive; consumes its edge."""
     return bool(zmq_socket.get(zmq.EVENTS) & _READABLE)
--- a/src/medlarfork/links/keys.py
+++ b/src/medlarfork/links/keys.py
@@ -1,4 +1,4 @@
-"""Make and load the keys with which processes authenticate their links to each other.
+"""Generate and load the keys that authenticate links between processes.
 
 Each process has a secret key and a public key (CURVE). A folder holds the process's own
 ``NAME.key`` and the ``NAME.pub`` of every process it may talk to.
@@ -19,10 +19,10 @@
 from medlarfork import errors
 
 SECRET_SUFFIX = ".key"
-"""Ending of files that hold a secret key."""
+"""File name suffix of secret keys."""
 
 PUBLIC_SUFFIX = ".pub"
-"""Ending of files that hold a public key."""
+"""File name suffix of public keys."""
 
 _KEY_BYTES = 32
 """Size of a CurveZMQ key."""
@@ -35,10 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkKeys:
-    """Hold one process's own keys and the public keys it knows; all in Z85 text.
+    """Hold a process's own key pair and the public keys it knows; all in Z85 encoding.
 
     Attributes:
-        name: Whose keys these are.
+        name: Name of the process that owns the pair.
         public: Own public key.
         secret: Own secret key.
         public_by_name: Public keys of the known processes, keyed by their names.
@@ -54,7 +54,7 @@
         """Load a process's secret key and all public keys of a folder.
 
         Raises:
-            errors.LinkError: A file is missing or damaged, or others can read the secret.
+            errors.LinkError: A file is missing or damaged, or other users can access the secret.
         """
         check_name(name)
         root = pathlib.Path(folder)
@@ -67,16 +67,16 @@
         if public_by_name.get(name, public) != public:
             raise errors.LinkError(
                 f"{name}{PUBLIC_SUFFIX} does not belong to {name}{SECRET_SUFFIX}.",
-                remedy="Generate the pair anew and copy the public key to the other hosts.",
+                remedy="Generate a new pair and copy the public key to the other hosts.",
             )
         return cls(name, public, secret, public_by_name)
 
 
 def load_if_configured(folder: str, name: str) -> LinkKeys | None:
-    """Load keys as ``LinkKeys.load`` does; None if no folder is named: no authentication then.
+    """Load keys as ``LinkKeys.load`` does; None (no authentication) if no folder is configured.
 
     Raises:
-        errors.LinkError: A file is missing or damaged, or others can read the secret.
+        errors.LinkError: A file is missing or damaged, or other users can access the secret.
     """
     return LinkKeys.load(folder, name) if folder else None
 
@@ -108,14 +108,14 @@
 
 
 def check_name(name: str) -> None:
-    """Refuse a name that can't name a key file and a link.
+    """Check that a name is valid for key files and links.
 
     Raises:
-        errors.LinkError: The name is refused.
+        errors.LinkError: The name is invalid.
     """
     if not _NAME.fullmatch(name):
         raise errors.LinkError(
-            f"{name[:100]!r} can't name a process.",
+            f"{name[:100]!r} is not a valid name of a process.",
             remedy="Use 1 to 100 letters, digits, dots, dashes and underscores.",
         )
 
@@ -132,7 +132,7 @@
     except OSError as error:
         raise errors.LinkError(
             f"The secret key {path} can't be read: {error.strerror}.",
-            remedy="Make it with medlarctl keygen and name its folder in the settings.",
+            remedy="Generate it with medlarctl keygen and set its folder in the settings.",
         ) from error
     if mode & _OTHERS:
         raise errors.LinkError(
@@ -155,12 +155,12 @@
 def _damaged(path: pathlib.Path) -> errors.LinkError:
     return errors.LinkError(
         f"The key file {path} does not hold a key.",
-        remedy="Copy it anew from the host that made it, or generate the pair anew.",
+        remedy="Copy it again from the host where it was generated, or generate a new pair.",
     )
 
 
 def _check_distinct(public_by_name: dict[str, bytes]) -> None:
-    """Refuse one key under two names, which would leave open who a sender is."""
+    """Reject one key under two names, which would make the sender ambiguous."""
     name_by_public: dict[bytes, str] = {}
     for name, public in public_by_name.items():
         other = name_by_public.setdefault(public, name)
--- a/src/medlarfork/links/link.py
+++ b/src/medlarfork/links/link.py
@@ -1,11 +1,11 @@
-"""Carry messages between the system's processes over ZeroMQ, under curio.
+"""Exchange messages between processes over ZeroMQ, under curio.
 
 A link binds one ROUTER socket, which peers connect to, and opens one DEALER socket for each peer
-that it connects to. Messages may be lost, late, repeated or reordered; they are never cut or
-attributed to another sender, if keys are in use.
+that it connects to. Messages may be lost, delayed, duplicated or reordered; they are never
+truncated, and, if keys are in use, never attributed to another sender.
 
-A link never queues for a peer that it has no connection to (``zmq.IMMEDIATE``): what would be
-delivered after a reconnect is old news by then, and the decision modules repeat what matters.
+A link never queues messages for a peer without a connection (``zmq.IMMEDIATE``): they would be
+outdated when delivered after a reconnect, and the decision modules resend what is needed.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 from medlarfork.links import _link_sockets, _zap, _zmq_poller, keys
 
 _BATCH = 64
-"""Most messages taken from one socket before the others get their turn."""
+"""Maximum number of messages received from one socket before the others are served."""
 
 _PARTS = 2
-"""A message is its kind and its body; a routing id comes before them on the ROUTER socket."""
+"""Frames of a message: kind and body. On the ROUTER socket, a routing id precedes them."""
 
 
 _LAST_PART = int(zmq.NOBLOCK)
-"""Flags of a message's last part. As plain integers, and sent part by part: the library's own
-constants cost as much as the sending itself, with two more for each part."""
+"""Send flags of a message's last part. Flags are plain integers and parts are sent one by one,
+because the library's enum constants cost as much time as the sending itself."""
 
 _MORE_PARTS = int(zmq.NOBLOCK | zmq.SNDMORE)
-"""Flags of the parts before it."""
+"""Send flags of the parts before the last one."""
 
 LinkOptions = _link_sockets.LinkOptions
-"""Bounds and times of a link."""
+"""Limits and timeouts of a link."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkCounters:
-    """Count what a link did since its start.
+    """Counters of a link since its start.
 
     Attributes:
-        dropped: Messages not sent: no connection, a full queue, or too large.
-        malformed: Messages received that could not be decoded.
-        impostors: Messages received under a name that is not the key's.
+        dropped: Messages not sent: no connection, queue full, or message too large.
+        malformed: Received messages that could not be decoded.
+        impostors: Received messages whose sender name does not match the authenticated key.
         refused_keys: Connections refused because their key is not known.
     """
 
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Peer:
-    """Hold the connection to one peer."""
+    """A peer that this link connects to."""
 
     peer_id: str
     address: str
@@ -69,7 +69,7 @@
 
 
 class Link:
-    """Send messages to peers and receive theirs; used by one thread's curio tasks."""
+    """Send messages to peers and receive theirs; may only be used by the tasks of one thread."""
 
     def __init__(
         self,
@@ -84,10 +84,10 @@
 
         Args:
             bind: ``tcp://IP:PORT`` to listen on; port 0 lets the system choose.
-            keys: Own and known keys; None for links without authentication.
+            keys: Own key pair and known public keys; None for links without authentication.
 
         Raises:
-            errors.LinkError: The identity is malformed or not the one of the keys.
+            errors.LinkError: The identity is invalid or does not match the name of the keys.
         """
         _check_identity(identity, keys)
         self._identity = identity
@@ -127,14 +127,14 @@
         except zmq.ZMQError as error:
             await self.close()
             raise errors.LinkError(
-                f"The link address {self._bind} can't be listened on: {error}.",
+                f"Cannot listen on the link address {self._bind}: {error}.",
                 remedy="Choose a free port on an IP number of this host.",
             ) from error
         self._poller.add(self._router)
         self._task = await curio.spawn(self._receive_all, daemon=True)
 
     async def close(self) -> None:
-        """Close all connections; waits at most ``linger_s`` for what was just sent."""
+        """Close all connections; waits at most ``linger_s`` for messages that were just sent."""
         if self._task is not None:
             await self._task.cancel()
             self._task = None
@@ -155,28 +155,28 @@
 
     @property
     def address(self) -> str:
-        """Return the address listened on, with its real port."""
+        """Return the address that the link listens on, with the actual port."""
         return "" if self._router is None else self._router.LAST_ENDPOINT.decode().rstrip("\0")
 
     @property
     def counters(self) -> LinkCounters:
-        """Return what was counted since the start."""
+        """Return the counters since the start."""
         refused = 0 if self._zap is None else self._zap.refused
         return LinkCounters(**self._counts, refused_keys=refused)
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """Return the ids of the peers connected to, whether the connection stands or not."""
+        """Return the ids of the peers that ``connect`` was called for, connected or not."""
         return tuple(self._peer_by_id)
 
     def connect(self, peer_id: str, address: str) -> bool:
-        """Connect to a peer, and again whenever the connection is lost.
+        """Connect to a peer, and reconnect whenever the connection is lost.
 
-        Connecting again to the same address changes nothing; a new address replaces the old.
+        A second call with the same address changes nothing; a new address replaces the old one.
 
         Returns:
-            Whether it was done; False if the address is malformed, the peer's key is not known,
-            or the link is closed.
+            True on success; False if the address is malformed, the peer's key is not known, or
+            the link is closed.
         """
         old = self._peer_by_id.get(peer_id)
         if old is not None and old.address == address:
@@ -202,20 +202,20 @@
             self._close_socket(peer.socket)
 
     def update_keys(self, known: keys.LinkKeys) -> None:
-        """Use a newly loaded set of known keys; own keys stay as they are."""
+        """Replace the known public keys; the link's own key pair stays the same."""
         if self._keys is None or self._zap is None:
             return
         self._keys = dataclasses.replace(self._keys, public_by_name=known.public_by_name)
         self._zap.update_keys(known.public_by_name)
 
     def send(self, peer_id: str, message: Any) -> bool:
-        """Send a message without ever waiting.
+        """Send a message without blocking.
 
         Returns:
-            Whether it was queued; False if it was dropped. True does not say that it arrives.
+            Whether it was queued; False if it was dropped. A queued message may still be lost.
         """
         if message is not self._encoded_message:
-            # Replicas tell hundreds of hosts the same: it is encoded once.
+            # Replicas send the same message to hundreds of hosts; encode it only once.
             self._encoded_message = message
             self._encoded = self._codec.encode(message)
         kind, body = self._encoded
@@ -228,7 +228,7 @@
         return True
 
     def has_route(self, peer_id: str) -> bool:
-        """Return whether the peer has lately sent something over its own connection to us."""
+        """Return whether the peer can be answered over a connection that it opened to this link."""
         return peer_id in self._route_by_id
 
     async def receive(self) -> node.MessageReceived:
@@ -254,10 +254,11 @@
             socket.send(parts[-1], _LAST_PART)
             is_sent = True
         except zmq.ZMQError:
-            # Again: the queue is full or no connection stands; EHOSTUNREACH: the route is gone.
+            # EAGAIN: queue full or no connection; EHOSTUNREACH: the route no longer exists.
             is_sent = False
-        # A failed send takes the socket's edge too: unmarked, what had come by then, and all that
-        # follows it on that connection, stays unread until a third process sends something.
+        # A failed send consumes the socket's edge too. Without marking the socket, messages that
+        # had arrived by then, and later ones on that connection, would stay unread until another
+        # process sends something.
         if _zmq_poller.has_message(socket) and self._poller is not None:
             self._poller.mark_pending(socket)
         return is_sent
@@ -305,7 +306,7 @@
         return node.MessageReceived(sender, message)
 
     def _sender_of(self, frames: list[zmq.Frame]) -> str | None:
-        """Return who sent a message to the ROUTER socket and remember the way back."""
+        """Return the sender of a message to the ROUTER socket and store the route for replies."""
         route = frames[0].bytes
         name, separator, _ = route.rpartition(_link_sockets.ROUTE_SEPARATOR)
         sender = name.decode(errors="replace")
@@ -323,7 +324,7 @@
 
     def _is_authentic(self, sender: str, frame: zmq.Frame) -> bool:
         assert self._keys is not None
-        # A key that was taken out of the folder loses its open connections' voice too.
+        # Messages over open connections of a key that was removed are rejected, too.
         return frame.get("User-Id") == sender and sender in self._keys.public_by_name
 
     def _close_socket(self, socket: zmq.Socket) -> None:
@@ -336,6 +337,6 @@
     keys.check_name(identity)
     if own is not None and own.name != identity:
         raise errors.LinkError(
-            f"The keys are those of {own.name}, not of {identity}.",
+            f"The keys belong to {own.name}, not to {identity}.",
             remedy="Load the keys under the process's own name.",
         )
--- a/src/medlarfork/links/routed_links.py
+++ b/src/medlarfork/links/routed_links.py
@@ -17,7 +17,7 @@
     *usage_messages.USAGE_MESSAGES,
 )
 """Every message class that entry hosts exchange with replicas, for the codec of the links. Replicas
-add those of the log, which would make the start of an entry host longer."""
+add those of the replicated log; importing them would slow down the start of entry hosts."""
 
 LINK_OPTIONS = link.LinkOptions(
     heartbeat_s=0.5,
@@ -27,5 +27,5 @@
     connect_timeout_s=0.5,
     linger_s=0.05,
 )
-"""Times of the links: a connection that went silent is given up after 1.5 s, half of the time that
-a replica needs to be missed, and is tried again twice a second."""
+"""Timeouts of the links: a silent connection is closed after 1.5 s, half of the time after which a
+replica is considered lost, and connecting is retried twice a second."""
--- a/src/medlarfork/links/wire.py
+++ b/src/medlarfork/links/wire.py
@@ -1,4 +1,4 @@
-"""List the messages that the system's processes exchange over links."""
+"""List the messages that entry hosts and control replicas exchange over links."""
 
 from __future__ import annotations
 
--- a/src/medlarfork/load/__init__.py
+++ b/src/medlarfork/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool."""
+"""Load generator ``medlar-load``."""
--- a/src/medlarfork/load/_load_arrivals.py
+++ b/src/medlarfork/load/_load_arrivals.py
@@ -1,4 +1,4 @@
-"""Draw when requests arrive and what they ask for; the same seed draws the same."""
+"""Random arrivals of a load run, reproducible by seed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """Describe one request to send.
+    """Arrival of one request.
 
     Attributes:
-        number: Counts the requests of its class from 0.
-        at_s: When it arrives, in seconds from the start.
-        tokens: Length of its answer, in tokens.
-        group: Which shared beginning its prompt has.
+        number: Number of the request within its class, from 0.
+        at_s: Arrival time, in seconds from the start.
+        tokens: Length of its response, in tokens.
+        group: Prefix group, whose prompts share the same system prompt.
         key_random: Random bytes of its idempotency key.
     """
 
@@ -35,7 +35,7 @@
 def arrivals(
     load_class: _load_experiment.LoadClass, *, seed: int, duration_s: float
 ) -> Iterator[Arrival]:
-    """Yield the arrivals of one class in order: a Poisson process whose rate follows the bursts."""
+    """Yield the arrivals of one class in order, a Poisson process with the rate of ``rate_at``."""
     generator = random.Random(f"{seed}/{load_class.name}")
     max_rate = load_class.rate_per_s * max(1.0, load_class.burst_factor)
     at_s = 0.0
@@ -44,7 +44,8 @@
         at_s += generator.expovariate(max_rate)
         if at_s >= duration_s:
             return
-        # Drawn at the highest rate and thinned out to the rate of the moment.
+        # Thinning: candidates arrive at the maximum rate and are kept in proportion to the
+        # current rate.
         if generator.random() * max_rate >= rate_at(load_class, at_s):
             continue
         yield Arrival(
--- a/src/medlarfork/load/_load_caller.py
+++ b/src/medlarfork/load/_load_caller.py
@@ -1,4 +1,4 @@
-"""Send one request of a load run as a well-behaved caller does, and say how it went."""
+"""Caller of a load run: sends a request, follows the retry rules and returns the result."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from medlarfork.load import _load_directory, _load_experiment, _load_request
 
 _DEFAULT_RETRY_AFTER_S = 0.05
-"""Wait before a request that was not run is sent again, if the answer names no time."""
+"""Delay before a retry if the response has no Retry-After header, in seconds."""
 
 _RETRYABLE_STATUSES = frozenset({0, 429, 503})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """Say how one sending of a request ended.
+    """Result of one attempt of a request.
 
     Attributes:
-        outcome: What became of it, as far as the caller knows.
+        outcome: Outcome of the attempt, as far as the caller knows.
         status: HTTP status; 0 if there was none.
-        first_byte_at: Monotonic time of the answer's first body byte, if any.
+        first_byte_at: Monotonic time of the first byte of the response body, if any.
         tokens: Tokens received.
-        verdict: For a complete answer: whether it is the right one.
-        retry_after_s: When the answer says to try again, in seconds.
+        verdict: For a complete response: whether it is correct.
+        retry_after_s: Delay before a retry, in seconds.
     """
 
     outcome: requests.Outcome
@@ -42,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """Say how a request ended, over all its attempts.
+    """Result of a request over all its attempts.
 
     Attributes:
         last: The last attempt.
         retries: Attempts beyond the first.
-        first_byte_s: From its arrival to the first byte of its answer, in seconds.
-        whole_s: From its arrival to its end, in seconds.
-        wasted_tokens: Tokens received in answers that never ended.
+        first_byte_s: Time from its arrival to the first byte of the response, in seconds.
+        whole_s: Time from its arrival to its end, in seconds.
+        wasted_tokens: Tokens received in incomplete responses.
     """
 
     last: Attempt
@@ -60,7 +60,7 @@
 
 
 class LoadCaller:
-    """Send requests and repeat those that were not run, within bounds."""
+    """Sends requests and retries those that did not run, a limited number of times."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         directory: _load_directory.LoadDirectory,
         experiment: _load_experiment.Experiment,
     ) -> None:
-        """Wire the caller."""
+        """Create a caller with its HTTP client, its directory and the experiment's settings."""
         self._client = client
         self._directory = directory
         self._experiment = experiment
@@ -76,11 +76,12 @@
     async def send(
         self, request: _load_request.LoadRequest, *, due_at: float, timeout_s: float
     ) -> Result:
-        """Send a request until it was run, given up or sent too often.
+        """Send a request, with retries until it ran, timed out or has no retries left.
 
         Args:
-            due_at: Monotonic time at which it arrived; all times count from here.
-            timeout_s: Time after which the caller gives up.
+            request: The request to send.
+            due_at: Monotonic arrival time; the timeout and the measured times start here.
+            timeout_s: Time after which the caller gives up, in seconds.
         """
         deadline_at = due_at + timeout_s
         tried: frozenset[str] = frozenset()
@@ -130,7 +131,7 @@
 async def _read_stream(
     response: http_client.Response, request: _load_request.LoadRequest
 ) -> Attempt:
-    """Read a streamed answer; only ``[DONE]`` and the connection's proper end complete it."""
+    """Read a streamed response; it is complete after ``[DONE]`` and the end of its body."""
     parser = sse.EventParser()
     parts: list[str] = []
     first_at: float | None = None
@@ -169,7 +170,7 @@
     value = response.headers.get(header_names.OUTCOME.lower(), "")
     if value == requests.Outcome.NOT_RUN:
         return requests.Outcome.NOT_RUN
-    # Without a word on it, an error may have come after the request took effect.
+    # An error without an outcome header may have occurred after the request took effect.
     return requests.Outcome.MAY_HAVE_RUN
 
 
--- a/src/medlarfork/load/_load_directory.py
+++ b/src/medlarfork/load/_load_directory.py
@@ -1,4 +1,4 @@
-"""Ask which entry hosts to use, and keep the answer for its lifetime, as callers do."""
+"""Cached directory of entry hosts, as callers use it."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from medlarfork.http import http_client
 
 _REQUEST_TIMEOUT_S = 2.0
-"""How long one entry host may take to answer, in seconds."""
+"""Timeout of a request to one entry host, in seconds."""
 
 _MIN_LIFETIME_S = 0.1
-"""Least time that an answer is kept, whatever it says, in seconds."""
+"""Minimum time that a reply is cached, in seconds."""
 
 _RETRY_S = 0.5
-"""How long to use what is known after nobody has answered, in seconds."""
+"""Delay before the next refresh after no entry host replied, in seconds."""
 
 
 class LoadDirectory:
-    """Name an entry host for each request, spread over those that were named to us.
+    """Directory that selects an entry host for each request, round robin.
 
     Attributes:
-        failures: Questions that nobody answered.
+        failures: Refreshes that no entry host replied to.
     """
 
     def __init__(
         self, client: http_client.HttpClient, seeds: tuple[str, ...], *, data_centre: str
     ) -> None:
-        """Start with addresses that may be asked."""
+        """Start with an empty cache and the addresses of some entry hosts."""
         self.failures = 0
         self._client = client
         self._seeds = seeds
@@ -43,7 +43,7 @@
         self._refresh_lock = curio.Lock()
 
     async def pick(self, *, exclude: frozenset[str] = frozenset()) -> str:
-        """Return the address to use for one request, if possible none of ``exclude``."""
+        """Return the address to use for one request, outside ``exclude`` if possible."""
         if time.monotonic() >= self._valid_until:
             await self._refresh()
         addresses = self._addresses or self._seeds
--- a/src/medlarfork/load/_load_experiment.py
+++ b/src/medlarfork/load/_load_experiment.py
@@ -1,4 +1,4 @@
-"""Define the experiment file of ``medlar-load``."""
+"""Experiment file of ``medlar-load``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LoadKind(enum.StrEnum):
-    """Tell chat completions from calls of a plain service."""
+    """Kind of the requests of a class: chat completions or calls of a plain service."""
 
     CHAT = "chat"
     CALL = "call"
@@ -18,32 +18,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadClass:
-    """Describe one class of requests.
+    """Class of requests.
 
     Attributes:
-        name: Unique name; stands in the report and in every request.
-        kind: What is asked for.
+        name: Unique name; part of the report and of chat prompts.
+        kind: Kind of the requests.
         account_key: API key of the client account.
         labels: Value of the ``Medlar-Labels`` header; empty for none.
         rate_per_s: Mean arrivals a second outside bursts.
         burst_on_s: Length of a burst, in seconds; 0 for no bursts.
-        burst_off_s: Time between bursts, in seconds; the experiment begins with it.
+        burst_off_s: Time between bursts, in seconds; the experiment starts with it.
         burst_factor: Factor by which arrivals are more frequent in a burst.
-        first_token_target_s: Target to the first byte of the answer, if any, in seconds.
-        whole_target_s: Target for the whole answer, if any, in seconds.
+        first_token_target_s: Target time to the first byte of the response, if any, in seconds.
+        whole_target_s: Target time to the end of the response, if any, in seconds.
         timeout_s: Time after which the caller gives up, in seconds.
-        repeatable: Whether an execution may be repeated; if not, a second one is reported.
+        repeatable: Whether a call may be executed more than once; if not, this is reported.
         model: For chat: the model.
-        stream: For chat: whether the answer is streamed.
-        prompt_words: For chat: words of the prompt.
-        prompt_groups: For chat: how many beginnings the prompts share.
-        tokens_min: For chat: shortest answer, in tokens.
-        tokens_max: For chat: longest answer, in tokens.
-        max_tokens: For chat: bound that is sent along; 0 for none.
+        stream: For chat: whether the response is streamed.
+        prompt_words: For chat: number of filler words in the prompt.
+        prompt_groups: For chat: number of prefix groups, whose prompts share a system prompt.
+        tokens_min: For chat: minimum length of a response, in tokens.
+        tokens_max: For chat: maximum length of a response, in tokens.
+        max_tokens: For chat: value of ``max_tokens`` in the request; 0 for none.
         service: For calls: the plain service.
         method: For calls: the HTTP method.
-        path: For calls: the path below the service; ``{number}`` becomes the request's number.
-        idempotency_keys: For calls: whether each request carries a key of its own.
+        path: For calls: the path below the service; ``{number}`` is replaced by the number of
+            the request.
+        idempotency_keys: For calls: whether each request has its own idempotency key.
     """
 
     name: str
@@ -73,18 +74,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Experiment:
-    """Describe one run.
+    """Settings of one load run.
 
     Attributes:
-        entries: Base addresses of entry hosts that are asked which ones to use.
+        entries: Base addresses of entry hosts that are asked for the list of entry hosts.
         classes: The classes; ``[[class]]`` in the file.
-        data_centre: Where the callers stand; entry hosts there are preferred.
+        data_centre: Data centre of the callers; entry hosts there are preferred.
         seed: Seed of arrivals, lengths and prompts.
         duration_s: How long requests arrive, in seconds.
-        drain_s: How long to wait for answers after that, in seconds.
-        retries: How often a request that was not run is sent again.
-        retry_wait_limit_s: Longest wait before it is sent again, in seconds.
-        outstanding_limit: Requests in progress at once; what would go beyond is not sent.
+        drain_s: Maximum time to wait for responses after that, in seconds.
+        retries: Maximum retries of a request that did not run.
+        retry_wait_limit_s: Maximum delay before a retry, in seconds.
+        outstanding_limit: Maximum requests in progress; arrivals beyond are skipped.
     """
 
     entries: tuple[str, ...]
@@ -99,20 +100,20 @@
 
 
 def check(experiment: Experiment) -> None:
-    """Refuse an experiment that can't be run.
+    """Validate an experiment beyond its types and ranges.
 
     Raises:
-        errors.SettingsError: Something is missing or contradicts itself.
+        errors.SettingsError: A setting is missing or contradicts another.
     """
     if not experiment.entries:
         raise errors.SettingsError(
-            "The experiment names no entry host.", remedy='Set entries = ["http://IP:PORT"].'
+            "The experiment lists no entry host.", remedy='Set entries = ["http://IP:PORT"].'
         )
     names: set[str] = set()
     for load_class in experiment.classes:
         if load_class.name in names:
             raise errors.SettingsError(
-                f"Two classes are named {load_class.name}.", remedy="Give each its own name."
+                f"Two classes are named {load_class.name}.", remedy="Give each class its own name."
             )
         names.add(load_class.name)
         _check_class(load_class)
@@ -121,12 +122,12 @@
 def _check_class(load_class: LoadClass) -> None:
     if load_class.tokens_min > load_class.tokens_max:
         raise errors.SettingsError(
-            f"Class {load_class.name} has tokens_min above tokens_max.",
-            remedy="Give the shortest length as tokens_min.",
+            f"Class {load_class.name} has a tokens_min above its tokens_max.",
+            remedy="Set tokens_min to the minimum length.",
         )
     needed = load_class.model if load_class.kind is LoadKind.CHAT else load_class.service
     if not needed:
         raise errors.SettingsError(
-            f"Class {load_class.name} does not say what to ask.",
+            f"Class {load_class.name} has no model or service.",
             remedy="Set model for chat, or service for calls.",
         )
--- a/src/medlarfork/load/_load_report.py
+++ b/src/medlarfork/load/_load_report.py
@@ -1,4 +1,4 @@
-"""Sum up a load run: a line for each class, and the same as JSON."""
+"""Report of a load run: a summary for each class, as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Percentiles:
-    """Hold percentiles of a time, in seconds; None without enough answers."""
+    """Percentiles of a time, in seconds; None if there are no values."""
 
     p50: float | None = None
     p95: float | None = None
@@ -23,26 +23,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassReport:
-    """Sum up one class.
+    """Summary of one class.
 
     Attributes:
-        name: The class.
-        sent: Requests begun.
-        completed: Answers that came to their proper end.
-        not_run: Requests that were finally said not to have run.
-        may_have_run: Requests of which the caller doesn't know.
-        errors: Those of ``may_have_run`` that had no HTTP status, such as a cut connection.
+        name: Name of the class.
+        sent: Requests started.
+        completed: Requests with a complete response.
+        not_run: Requests that did not run in their last attempt.
+        may_have_run: Requests with an unknown outcome.
+        errors: Those of ``may_have_run`` that had no HTTP status, such as after a reset.
         unfinished: Requests still in progress when the run ended.
-        skipped: Arrivals that were not sent because too many were in progress.
-        retries: Sendings beyond the first.
-        attainment: Share of the requests sent that were completed within all targets.
-        goodput_per_s: Right answers within all targets, per second of arrivals.
-        wasted_tokens: Tokens received in answers that never ended.
-        cut: Complete answers that lack their end.
-        foreign: Complete answers to something else.
-        doubled: Calls that were executed more than once and must not be.
-        first_byte: Time to the first byte of completed answers.
-        whole: Time to the end of completed answers.
+        skipped: Arrivals that were not sent because too many requests were in progress.
+        retries: Attempts beyond the first ones.
+        attainment: Share of the requests sent that were completed correctly within all targets.
+        goodput_per_s: Correct responses within all targets, per second of arrivals.
+        wasted_tokens: Tokens received in incomplete responses.
+        cut: Responses that looked complete but lack their end.
+        foreign: Complete responses that belong to something else.
+        doubled: Calls that were executed more than once though not repeatable.
+        first_byte: Time to the first byte of completed responses.
+        whole: Time to the end of completed responses.
     """
 
     name: str
@@ -66,12 +66,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Sum up a run.
+    """Report of a run.
 
     Attributes:
         seed: Seed of the run.
-        duration_s: How long requests arrived.
-        latest_s: How late the latest request was sent, because this process was busy.
+        duration_s: How long requests arrived, in seconds.
+        latest_s: Maximum delay of a request because this process was busy, in seconds.
         classes: A report for each class.
     """
 
@@ -82,7 +82,7 @@
 
     @property
     def passed(self) -> bool:
-        """Return whether the run completed and no complete answer was wrong."""
+        """Return whether the run completed and every complete response was correct."""
         return not any(
             item.cut or item.foreign or item.doubled or item.unfinished or item.skipped
             for item in self.classes
@@ -90,10 +90,10 @@
 
 
 class ClassTally:
-    """Collect the results of one class.
+    """Results of one class, collected during the run.
 
     Attributes:
-        sent: Requests begun.
+        sent: Requests started.
         skipped: Arrivals that were not sent.
     """
 
@@ -131,7 +131,7 @@
             self._good_count += 1
 
     def report(self, duration_s: float) -> ClassReport:
-        """Return the sum of what was collected."""
+        """Return the summary of the results."""
         return ClassReport(
             name=self._class.name,
             sent=self.sent,
@@ -170,7 +170,7 @@
 
 
 def render(report: LoadReport) -> str:
-    """Return a table for people."""
+    """Return the report as a table."""
     head = (
         "class sent completed not_run may_have_run errors unfinished skipped retries attainment"
         " goodput/s wasted_tokens cut foreign doubled"
--- a/src/medlarfork/load/_load_request.py
+++ b/src/medlarfork/load/_load_request.py
@@ -1,4 +1,4 @@
-"""Build the requests of a load run and check that an answer is its own and whole."""
+"""Requests of a load run, and the check that a response is complete and the expected one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,14 @@
 
 
 class Verdict(enum.StrEnum):
-    """Say what a caller thinks of an answer that came to its end."""
+    """Result of checking a complete response.
+
+    Attributes:
+        OWN: It is the expected response.
+        CUT: It looks complete, but lacks its end.
+        FOREIGN: It belongs to something else.
+        DOUBLED: It is correct, but a call that is not repeatable ran more than once.
+    """
 
     OWN = "own"
     CUT = "cut"
@@ -29,17 +36,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadRequest:
-    """Hold a request that is ready to be sent, and what its answer must be.
+    """Request that is ready to be sent, with the expected response.
 
     Attributes:
         method: HTTP method.
         target: Path at the entry host.
-        headers: Headers, without those of the connection.
-        body: The whole body.
-        stream: Whether the answer comes as events.
-        expected: The text of the answer; the path of an echoed call.
-        key: Its idempotency key, if any.
-        repeatable: Whether a second execution is allowed.
+        headers: Headers without hop-by-hop headers.
+        body: The complete body.
+        stream: Whether the response is an event stream.
+        expected: Expected text of a chat response; path of an echoed call.
+        key: Idempotency key, if any.
+        repeatable: Whether the request may be executed more than once.
     """
 
     method: str
@@ -62,6 +69,9 @@
     """Return the request of one arrival.
 
     Args:
+        load_class: Class of the request.
+        arrival: Arrival to build the request for.
+        seed: Seed of the run, which is part of the prompt.
         time_ms: Milliseconds since 1970, for the idempotency key.
     """
     headers = {
@@ -78,14 +88,14 @@
 
 
 def check_text(request: LoadRequest, text: str) -> Verdict:
-    """Return whether a chat answer that ended properly is the expected one."""
+    """Return whether the text of a complete chat response is the expected one."""
     if text == request.expected:
         return Verdict.OWN
     return Verdict.CUT if request.expected.startswith(text) else Verdict.FOREIGN
 
 
 def check_body(request: LoadRequest, body: bytes) -> tuple[Verdict, int]:
-    """Return whether a whole body is the expected one, and its tokens."""
+    """Return whether a complete body is the expected one, and its number of tokens."""
     try:
         answer = json.loads(body)
         if request.target == parse.CHAT_PATH:
@@ -99,7 +109,7 @@
 
 
 def delta_text(event: sse.Event) -> str:
-    """Return the text that one event of a streamed chat answer adds."""
+    """Return the text in one event of a streamed chat response."""
     try:
         choices = json.loads(event.data)["choices"]
         return "".join(choice["delta"]["content"] or "" for choice in choices)
--- a/src/medlarfork/load/load_program.py
+++ b/src/medlarfork/load/load_program.py
@@ -1,4 +1,4 @@
-"""Generate load: several classes of requests that arrive whether or not earlier ones are done."""
+"""Open-loop load generator: requests arrive whether or not earlier ones are finished."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 """Name of the program."""
 
 FAILED_STATUS = 1
-"""Exit status if the run did not complete or a complete answer was wrong."""
+"""Exit status if the run did not complete or a complete response was wrong."""
 
 _MAX_CONNECTIONS = 100_000
-"""Most connections; a load run must never wait for one."""
+"""Maximum number of connections, so large that a load run never waits for one."""
 
 
 class LoadProgram:
-    """Run one experiment."""
+    """Run of one experiment."""
 
     def __init__(self, experiment: _load_experiment.Experiment) -> None:
-        """Wire the run."""
+        """Create the components of the run."""
         self._experiment = experiment
         limits = http_client.ClientLimits(connections=_MAX_CONNECTIONS)
         self._client = http_client.HttpClient(limits=limits)
@@ -49,7 +49,7 @@
         self._latest_s = 0.0
 
     async def run(self) -> _load_report.LoadReport:
-        """Send everything, wait for the answers and return the report."""
+        """Send all requests, wait for their responses and return the report."""
         await self._client.start()
         started_at = time.monotonic()
         async with curio.TaskGroup() as group:
--- a/src/medlarfork/logs.py
+++ b/src/medlarfork/logs.py
@@ -1,4 +1,4 @@
-"""Log one line of key=value pairs for each event, on standard error."""
+"""Structured logging: one line of key=value pairs for each event, on standard error."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from medlarfork import _log_output, errors
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
-"""Names of the levels that settings may give."""
+"""Log levels that settings may name."""
 
 REDACTED = "[redacted]"
-"""Stands in a line for a value that must not be logged."""
+"""Replaces a value that must not be logged."""
 
 _SECRET_FIELDS = frozenset(
     {
@@ -35,29 +35,30 @@
         "token",
     }
 )
-"""Fields whose value is never logged, whatever it is."""
+"""Fields whose value is always redacted."""
 
 _SECRET_TEXT = re.compile(r"(?i)\b(bearer|basic)\s+[^\s\"',]+|\bsk-[\w-]{8,}")
-"""Credentials as they may turn up inside any text, such as an exception's."""
+"""Credentials that may occur inside any text, such as the message of an exception."""
 
 _PLAIN_VALUE = re.compile(r"[^\s\"'=\\]+")
-"""Printable values that need no quotes."""
+"""Values that need no quotes, if they are printable."""
 
 _API_KEY_PREFIX = "sk-"
-"""Is part of every credential that has no blank before it, in lower case."""
+"""Part of every credential that ``_PLAIN_VALUE`` can match, since the others contain a blank; in
+lower case."""
 
 MAX_LINES_PER_S = 2000
-"""Lines that a process writes in a second at most: several times what one core's requests need, so
-that only a fault that repeats itself is cut short."""
+"""Maximum lines a second that a process logs: several times what the requests of one core need,
+so that only a repeating fault is limited."""
 
 _COMMON_FIELDS = frozenset({"event", "ts", "level", "process", "pid", "logger"})
-"""Fields that each line begins with; an event can't overwrite them."""
+"""Fields at the start of each line, which an event can't overwrite."""
 
 _KEY_CACHE_SIZE = 1024
-"""Keys whose form is remembered."""
+"""Number of keys whose properties are cached."""
 
 _UNEXPECTED_KEY = re.compile(r"[^A-Za-z0-9_.]")
-"""Characters that a key may not have."""
+"""Characters that are replaced in keys."""
 
 
 def configure(
@@ -67,13 +68,13 @@
     stream: TextIO | None = None,
     lines_per_s: int = MAX_LINES_PER_S,
 ) -> None:
-    """Send every logger's events to standard error.
+    """Configure all loggers to write to standard error.
 
     Args:
         level: The lowest level that is logged; one of ``LEVELS``.
-        process_name: Names the process in every line.
-        stream: Where to write instead of standard error.
-        lines_per_s: Lines in a second beyond which further ones are dropped and counted.
+        process_name: Name of the process in every line.
+        stream: Stream to write to instead of standard error.
+        lines_per_s: Maximum lines a second; further ones are dropped and counted.
 
     Raises:
         errors.SettingsError: If the level is unknown.
@@ -84,8 +85,8 @@
         )
     handler = _log_output.LineHandler(stream or sys.stderr, lines_per_s=lines_per_s)
     handler.setFormatter(KeyValueFormatter(process_name))
-    # Lines name the process themselves; looking these up for each record would load and use a
-    # module for processes that no program needs.
+    # The formatter adds the process itself. Collecting these values for each record would load
+    # the multiprocessing module, which no program needs.
     logging.logMultiprocessing = logging.logProcesses = logging.logThreads = False
     root = logging.getLogger()
     root.handlers = [handler]
@@ -105,26 +106,26 @@
 
     Args:
         logger: The logger of the module in which it happened.
-        name: What happened, in snake case.
-        severity: Level, as the standard module numbers them.
-        cause: Exception whose traceback belongs to the event.
-        **fields: Values by key; those that are None are left out.
+        name: Name of the event, in snake case.
+        severity: Level number of the standard ``logging`` module.
+        cause: Exception whose traceback is logged.
+        **fields: Values by key; None values are omitted.
     """
     if logger.isEnabledFor(severity):
         logger.log(severity, {"event": name, **fields}, exc_info=cause)
 
 
 class KeyValueFormatter(core.BaseJsonFormatter):
-    """Render a log record as one line of key=value pairs."""
+    """Formatter that renders a log record as one line of key=value pairs."""
 
     def __init__(self, process_name: str) -> None:
-        """Name the process that the lines come from."""
+        """Create a formatter for the lines of one process."""
         super().__init__()
         self._process = process_name
         self._pid = os.getpid()
 
     def format(self, record: logging.LogRecord) -> str:
-        """Render a record; an event without an exception takes a short way to the same line."""
+        """Render a record, by an equivalent fast path for events without an exception."""
         fields = record.msg
         if not isinstance(fields, dict) or record.exc_info or record.stack_info:
             return super().format(record)
@@ -143,7 +144,7 @@
     def add_fields(
         self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]
     ) -> None:
-        """Put the fields that every line has before those of the event."""
+        """Add the common fields, then those of the event."""
         log_data["event"] = message_dict.get("event", "message")
         log_data["ts"] = _timestamp(record.created)
         log_data["level"] = record.levelname
@@ -203,8 +204,8 @@
 
 
 def _quote(text: str) -> str:
-    """Return the text in double quotes with line ends and control characters escaped."""
-    # A lone surrogate can't be encoded, and a terminal may act on C1 control characters.
+    """Return the text in double quotes with line breaks and control characters escaped."""
+    # Lone surrogates can't be encoded, and terminals may interpret C1 control characters.
     safe = "".join(
         character if character.isprintable() or ord(character) < 0x80 else f"U+{ord(character):04X}"
         for character in text
--- a/src/medlarfork/member.py
+++ b/src/medlarfork/member.py
@@ -1,4 +1,4 @@
-"""Describe entry hosts as members, and the view of them that control hands out."""
+"""Entry hosts as members, and the view of them that control publishes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """Say whether an entry host may be named to new callers."""
+    """Whether an entry host accepts new callers."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -20,12 +20,12 @@
 
     Attributes:
         entry_id: Stable identity.
-        incarnation: Grows with each start of the process.
+        incarnation: Increases with each start of the process.
         state: SERVING, or DRAINING before it stops.
         link_address: ``tcp://IP:PORT`` of its link to other processes.
         http_address: ``http://IP:PORT`` for callers and upstreams.
-        data_centre: Where it stands.
-        load: Share of its capacity in use, 0 to 1, for spreading callers.
+        data_centre: Data centre in which the host runs.
+        load: Share of its capacity in use, 0 to 1, for balancing callers.
     """
 
     entry_id: str
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """List the entry hosts that hold a lease; higher versions replace lower ones.
+    """The entry hosts that hold a lease; higher versions replace lower ones.
 
     ``version`` is ordered first by control's term, then by a counter of that term's leader.
     """
--- a/src/medlarfork/metrics/__init__.py
+++ b/src/medlarfork/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Count and time what a process does, and render it for Prometheus."""
+"""Metrics of a process, rendered for Prometheus."""
--- a/src/medlarfork/metrics/gauges.py
+++ b/src/medlarfork/metrics/gauges.py
@@ -1,8 +1,8 @@
-"""Define how the present values of a process's gauges are read."""
+"""Callback type for reading the gauges of a process."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 ReadGauges = Callable[[], dict[str, float]]
-"""Returns the present values of the gauges by name."""
+"""Returns the current values of the gauges by name."""
--- a/src/medlarfork/metrics/process_metrics.py
+++ b/src/medlarfork/metrics/process_metrics.py
@@ -1,7 +1,7 @@
-"""Keep the metrics of one process of a routed deployment, and render them for Prometheus.
+"""Metrics of one process of a routed deployment, with lazy loading of the OpenTelemetry SDK.
 
-Counting needs no library. The one that renders is loaded when the metrics are first asked for, or
-when much waits for it: a process that was killed serves again that much sooner.
+Recording needs no library. The SDK, which renders the metrics, is loaded by the first scrape, or
+when a buffer of recorded times is full. This shortens the restart of a process that was killed.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
     from medlarfork.metrics import sdk_metrics
 
 PATH = "/metrics"
-"""Path of a process's metrics on its health address."""
+"""Path of the metrics on the health address of a process."""
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
-"""Content type of what ``ProcessMetrics.respond`` sends."""
+"""Content type of the response of ``ProcessMetrics.respond``."""
 
 MAX_LABEL_SETS = 4096
-"""Label sets that are counted apart; further ones share one, which bounds memory."""
+"""Maximum label sets of a counter; further ones are counted together, which bounds memory."""
 
 MAX_PENDING_TIMES = 10_000
-"""Times of a kind that are kept before the library is loaded without being asked for, which bounds
-memory to some megabytes."""
+"""Recorded times of one histogram after which the SDK is loaded without a scrape, which bounds
+memory to a few megabytes."""
 
 
 class ProcessMetrics:
-    """Make the instruments of one process; nothing is shared with other instances."""
+    """Instruments of one process; instances share no state."""
 
     def __init__(self, scope: str, read_gauges: gauges.ReadGauges) -> None:
-        """Start without instruments but one gauge of states.
+        """Start with a single instrument, the state gauge.
 
         Args:
-            scope: Names the part of the product that counts.
+            scope: Instrumentation scope, the component that records the metrics.
             read_gauges: Called when the metrics are rendered.
         """
         self._scope = scope
@@ -49,26 +49,26 @@
         self._loading = threading.Lock()
 
     def tally(self, name: str, description: str, labels: tuple[str, ...]) -> tally.Tally:
-        """Return a counter by labels."""
-        counts = tally.Tally(labels, most=MAX_LABEL_SETS)
+        """Create and return a counter with labels."""
+        counts = tally.Tally(labels, max_label_sets=MAX_LABEL_SETS)
         self._tallies.append((name, description, counts))
         return counts
 
     def timing(self, name: str, description: str) -> timing.Timing:
-        """Return what takes the times of a histogram."""
+        """Create and return a recorder for the times of a histogram."""
         times = timing.Timing(
-            name, description, most=MAX_PENDING_TIMES, on_full=self._load_in_background
+            name, description, max_pending=MAX_PENDING_TIMES, on_full=self._load_in_background
         )
         self._timings.append(times)
         return times
 
     def close(self) -> None:
-        """Stop counting."""
+        """Shut down the SDK, if it was loaded."""
         if self._sdk is not None:
             self._sdk.close()
 
     async def respond(self, exchange: http_server.Exchange) -> None:
-        """Answer a request for the metrics, while other tasks go on."""
+        """Respond to a scrape; rendering runs in a thread, so that other tasks continue."""
         body = await curio.run_in_thread(self._render)
         await exchange.respond(200, {"Content-Type": CONTENT_TYPE}, body)
 
@@ -79,7 +79,7 @@
         return self._load().render()
 
     def _load(self) -> sdk_metrics.SdkMetrics:
-        """Load the library once, in the calling thread, and give it what was counted."""
+        """Load the SDK once, in the calling thread, and attach all instruments to it."""
         with self._loading:
             if self._sdk is None:
                 from medlarfork.metrics import sdk_metrics
--- a/src/medlarfork/metrics/sdk_metrics.py
+++ b/src/medlarfork/metrics/sdk_metrics.py
@@ -1,4 +1,4 @@
-"""Hold the OpenTelemetry instruments of one process; importing this makes a start longer."""
+"""OpenTelemetry instruments of one process; imported lazily, because loading the SDK is slow."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     *(0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5),
     *(1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0, 300.0, 600.0),
 )
-"""Upper bounds of the histograms' buckets, in seconds: from a counter lookup to a review."""
+"""Upper bounds of histogram buckets, in seconds: from a counter lookup to a long review."""
 
 
 class SdkMetrics:
-    """Make the instruments and render them."""
+    """Creates the instruments and renders them."""
 
     def __init__(self, scope: str, read_gauges: gauges.ReadGauges) -> None:
-        """Start with one gauge of states.
+        """Start with the state gauge.
 
         Args:
-            scope: Names the part of the product that counts.
+            scope: Instrumentation scope, the component that records the metrics.
             read_gauges: Called when the metrics are rendered.
         """
         self._read_gauges = read_gauges
@@ -45,13 +45,13 @@
         )
 
     def add_tally(self, name: str, description: str, counts: tally.Tally) -> None:
-        """Show a tally as a counter."""
+        """Export a tally as a counter."""
         self._meter.create_observable_counter(
             name, callbacks=[counts.observe], description=description
         )
 
     def add_timing(self, times: timing.Timing) -> None:
-        """Sum up times, those that were kept until now first."""
+        """Export times as a histogram, starting with those recorded before the SDK was loaded."""
         histogram = self._meter.create_histogram(
             times.name,
             unit="s",
@@ -61,11 +61,11 @@
         times.attach(histogram)
 
     def render(self) -> bytes:
-        """Return all values as text for Prometheus."""
+        """Return all values in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def close(self) -> None:
-        """Stop counting."""
+        """Shut down the meter provider."""
         self._provider.shutdown()
 
     def _observe_state(self, _: metrics_api.CallbackOptions) -> Iterable[metrics_api.Observation]:
--- a/src/medlarfork/metrics/timing.py
+++ b/src/medlarfork/metrics/timing.py
@@ -1,4 +1,4 @@
-"""Take times for a histogram, and keep them until the library that sums them up is loaded."""
+"""Recorder of times for a histogram that buffers them until the SDK is loaded."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class Histogram(Protocol):
-    """What times are handed on to: a histogram of OpenTelemetry."""
+    """Interface of an OpenTelemetry histogram."""
 
     def record(self, amount: float, attributes: Mapping[str, str] | None = None) -> None:
-        """Add one time."""
+        """Record one time."""
         ...
 
 
 class Timing:
-    """Record the times of one kind of event, in seconds.
+    """Recorder of the times of one kind of event, in seconds.
 
     Attributes:
         name: The histogram's name.
@@ -32,8 +32,8 @@
         Args:
             name: The histogram's name.
             description: What is timed.
-            max_pending: How many times are kept before a histogram is asked for.
-            on_full: Asks for it; called once.
+            max_pending: Number of buffered times at which a histogram is requested.
+            on_full: Called once at that number, to have a histogram attached.
         """
         self.name = name
         self.description = description
@@ -43,7 +43,7 @@
         self._pending: collections.deque[tuple[float, dict[str, str]]] = collections.deque()
 
     def record(self, seconds: float, labels: dict[str, str] | None = None) -> None:
-        """Take one time."""
+        """Record one time."""
         if self._histogram is not None:
             self._histogram.record(seconds, labels)
             return
@@ -51,11 +51,11 @@
         if len(self._pending) == self._max_pending:
             self._on_full()
         if self._histogram is not None:
-            # It came from another thread between the look and the append.
+            # Another thread attached it between the check and the append.
             self._flush_pending(self._histogram)
 
     def attach(self, histogram: Histogram) -> None:
-        """Hand what was kept, and all that follows, on to a histogram; from any thread."""
+        """Forward the buffered times and all later ones to a histogram; callable in any thread."""
         self._histogram = histogram
         self._flush_pending(histogram)
 
--- a/src/medlarfork/node.py
+++ b/src/medlarfork/node.py
@@ -1,9 +1,9 @@
-"""Define the one door of every node and node part: an event goes in, actions come out.
+"""Define the single event interface of every node and node part: one event in, actions out.
 
-A node is pure. It reads no clock, opens no socket and draws no randomness of its own: the time
-is an argument (monotonic seconds) and a seeded generator is handed in at construction. Whatever
-runs a node performs the actions in order. Parts inside a node have the same shape, so that each
-can be embedded alone.
+A node is pure: no I/O, no clock, no randomness of its own. The time is an argument (monotonic
+seconds), and a seeded random generator is passed to the constructor. The caller, such as
+``runner``, performs the actions in order. Parts of a node have the same interface, so that each
+can be used standalone.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """Tell a node that it runs from now on; always its first event."""
+    """Event: the node has started; always its first event."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """Hand over a message from another process; the link has authenticated the sender."""
+    """Event: a message from another process arrived; the link has authenticated the sender."""
 
     sender: str
     message: Any
@@ -27,19 +27,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimeDue:
-    """Tell a node that a time it asked for with ``Wake`` has come; early or extra ones are fine."""
+    """Event: a time requested with ``Wake`` has come; early or extra events are harmless."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Synced:
-    """Tell a node that the write of a ``Persist`` action is on disk."""
+    """Event: the write of the ``Persist`` action with this token is on disk."""
 
     token: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to another process; it may be lost, late, repeated or reordered."""
+    """Action: send a message to another process.
+
+    The message may be lost, delayed, duplicated or reordered.
+    """
 
     to: str
     message: Any
@@ -47,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wake:
-    """Ask for ``TimeDue`` at a monotonic time; only the earliest outstanding one matters."""
+    """Action: request ``TimeDue`` at a monotonic time; only the earliest pending one matters."""
 
     at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Persist:
-    """Append records to the journal and sync; ``Synced(token)`` follows.
+    """Action: append records to the journal and sync it; ``Synced(token)`` follows.
 
     Records are encoded bytes. Several ``Persist`` actions may share one sync.
     """
@@ -64,7 +67,7 @@
 
 
 class Node(Protocol):
-    """Turn one event into actions."""
+    """Handles one event at a time and returns the resulting actions."""
 
     def handle(self, event: Any, now: float) -> tuple[Any, ...]:
         """Handle an event at a monotonic time in seconds and return the actions, in order."""
--- a/src/medlarfork/operator/__init__.py
+++ b/src/medlarfork/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' requests, their API over HTTP, and the command line."""
+"""Operators' requests to control, their HTTP API and client, and the command line."""
--- a/src/medlarfork/operator/_ctl_commands.py
+++ b/src/medlarfork/operator/_ctl_commands.py
@@ -1,4 +1,4 @@
-"""Carry out the subcommands of ``medlarctl``."""
+"""Subcommands of ``medlarctl``."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from medlarfork.settings import settings
 
 _POLL_S = 0.2
-"""Time between two looks at whether a revision is in force, in seconds."""
+"""Polling interval for whether a revision is in force, in seconds."""
 
 _MAX_CONFLICT_TRIES = 8
-"""How often a drain is made anew because other changes come first."""
+"""Maximum attempts of a drain that conflicts with other changes."""
 
 _DRAIN_FIELD = {"upstream": "drained_upstreams", "entry": "drained_entries"}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Commands:
-    """Carry out one command line with a client."""
+    """Implementation of each subcommand; method names are those in ``_ctl_flags``."""
 
     request: _ctl_types.Request
     client: operator_client.OperatorClient
     environment: _ctl_types.Environment
 
     async def check(self, file: str) -> _ctl_types.Result:
-        """Check a configuration file."""
+        """Validate a configuration file."""
         configuration_file.read(pathlib.Path(file))
         return _ctl_types.Result({"file": file, "mistakes": 0}, f"{file}: no mistakes")
 
@@ -76,7 +76,7 @@
         return _ctl_types.Result(reply, text or f"{file} equals revision {current.revision}")
 
     async def fetch(self) -> _ctl_types.Result:
-        """Print the current configuration as a file that names its revision."""
+        """Print the current configuration as a file that states its revision."""
         current = await self.client.configuration()
         text = configuration_file.render(current.configuration, current.revision)
         return _ctl_types.Result(current, text.rstrip("\n"))
@@ -87,7 +87,7 @@
         return _ctl_types.Result(reply, _ctl_render.history(reply))
 
     async def status(self) -> _ctl_types.Result:
-        """Show how each control host stands."""
+        """Show the status of each control host."""
         reply_by_address: dict[str, operations.StatusReply] = {}
         problem_by_address: dict[str, str] = {}
         for address in self.request.settings.control:
@@ -108,7 +108,7 @@
         return _ctl_types.Result(reply, _ctl_render.members(reply.members, reply.revision))
 
     async def explain(self) -> _ctl_types.Result:
-        """Ask an entry host where a request would go, and why."""
+        """Show where an entry host would route a request, and why."""
         options = self.request
         if not options.account or bool(options.model) == bool(options.path):
             raise _ctl_types.UsageError(
@@ -123,7 +123,7 @@
         return _ctl_types.Result(reply, _ctl_render.tree(reply))
 
     async def drain(self, kind: str, member_id: str) -> _ctl_types.Result:
-        """Give an upstream no new work, or name an entry host to callers no more."""
+        """Stop sending new work to an upstream, or stop listing an entry host to callers."""
         await self._warn_if_unknown(kind, member_id)
         return await self._change_drained(kind, member_id, drained=True)
 
@@ -132,12 +132,12 @@
         return await self._change_drained(kind, member_id, drained=False)
 
     async def new_id(self) -> _ctl_types.Result:
-        """Print an id for a change, so that it can be sent again from the start."""
+        """Print an id for a change, so that a script can retry it from the first attempt on."""
         change_id = self._new_id()
         return _ctl_types.Result({"change_id": change_id}, change_id)
 
     async def hash_key(self) -> _ctl_types.Result:
-        """Print the digest of the API key on standard input."""
+        """Print the SHA-256 digest of the API key on standard input."""
         key = self.environment.read_input().strip()
         if not key:
             raise _ctl_types.UsageError(
@@ -148,7 +148,7 @@
         return _ctl_types.Result({"key_sha256": digest}, digest)
 
     async def keygen(self, folder: str, name: str) -> _ctl_types.Result:
-        """Make the keys with which a process authenticates its links."""
+        """Generate the key pair with which a process authenticates its links."""
         secret, public = keys.generate(folder, name)
         reply = {"secret": str(secret), "public": str(public)}
         text = f"secret key: {secret}\npublic key: {public}"
@@ -160,7 +160,7 @@
         return _ctl_types.Result(reply, _ctl_render.tree(msgspec.to_builtins(reply)))
 
     async def orders_issue(self, file: str) -> _ctl_types.Result:
-        """Declare what some engines should hold; control orders it."""
+        """Declare the desired state of some engines; control issues the orders for it."""
         desired = settings.load(pathlib.Path(file), order_types.DesiredState)
         base = self.request.base_revision
         base = (await self.client.orders()).revision if base is None else base
@@ -205,7 +205,7 @@
             except errors.OperatorError as error:
                 if error.code is not errors.Code.CHANGE_CONFLICT:
                     raise
-                self.environment.print_stderr(f"made anew: {error.problem}")
+                self.environment.print_stderr(f"retrying: {error.problem}")
         return await self._try_change_drained(kind, member_id, drained)
 
     async def _try_change_drained(
@@ -226,7 +226,7 @@
         return await self._accepted(accepted)
 
     async def _accepted(self, accepted: operations.ChangeAccepted) -> _ctl_types.Result:
-        """Report an accepted change, after it is in force if that is asked for."""
+        """Report an accepted change; with ``--wait``, once it is in force."""
         text = f"accepted as revision {accepted.revision}"
         reply = {"change_id": accepted.change_id, "revision": accepted.revision}
         if not self.request.wait:
@@ -238,11 +238,11 @@
         return _ctl_types.Result({**reply, "in_force": in_time, "at": state}, text, status)
 
     async def _wait_until_in_force(self, revision: int) -> operations.InForceReply:
-        """Return once it is in force or can't get there, or when the time is up."""
+        """Return once the revision is in force or can't come into force, or after the timeout."""
         give_up_at = time.monotonic() + self.request.settings.wait_s
         while True:
             state = await self.client.in_force(revision)
-            # A host that is ahead confirms nothing before somebody restarts it.
+            # A host that is ahead confirms no revision until it is restarted.
             stuck = bool(state.ahead) and set(state.waiting) <= set(state.ahead)
             if _is_in_force(state) or stuck or time.monotonic() >= give_up_at:
                 return state
@@ -251,7 +251,7 @@
     def _warn_of_ended_drains(
         self, current: configurations.Configuration, wanted: configurations.Configuration
     ) -> None:
-        """Warn where a file that does not list a drain ends it."""
+        """Warn of drains in force that the file doesn't list and therefore ends."""
         for kind, field in _DRAIN_FIELD.items():
             ended = set(getattr(current, field)) - set(getattr(wanted, field))
             for member_id in sorted(ended):
@@ -261,7 +261,7 @@
                 )
 
     async def _warn_if_unknown(self, kind: str, member_id: str) -> None:
-        """Warn if nobody reports what is to be drained; it may still start later."""
+        """Warn if control doesn't know the id; its host or upstream may still start later."""
         try:
             match kind:
                 case "upstream":
