--- a/src/medlarfork/operator/_ctl_flags.py
+++ b/src/medlarfork/operator/_ctl_flags.py
@@ -1,4 +1,4 @@
-"""Parse the command line of ``medlarctl``."""
+"""Command-line parser of ``medlarctl``."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class HelpRequested(Exception):
-    """Carry the help text, which was asked for."""
+    """Signal that the command line requests help; carries the help text."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Command:
-    """Describe one subcommand.
+    """One subcommand.
 
     Attributes:
-        words: What the operator types.
-        arguments: Names of the arguments that follow.
+        words: The words that select it.
+        arguments: Names of its arguments.
         method: Name of the method of ``_ctl_commands.Commands``.
-        summary: What it does.
-        needs_control: Whether it talks to control.
+        summary: Text for the help.
+        needs_control: Whether it needs addresses of control hosts.
     """
 
     words: tuple[str, ...]
@@ -38,7 +38,7 @@
     needs_control: bool = True
 
     def usage(self) -> str:
-        """Return how the command is typed."""
+        """Return the usage line of the command."""
         return " ".join((*self.words, *self.arguments))
 
 
@@ -48,28 +48,30 @@
     _Command(("fetch",), (), "fetch", "print the current configuration as a file"),
     _Command(("diff",), ("FILE",), "diff", "show what applying a file would change"),
     _Command(("history",), (), "history", "list the accepted changes"),
-    _Command(("status",), (), "status", "show how the control hosts stand"),
+    _Command(("status",), (), "status", "show the status of the control hosts"),
     _Command(("members",), (), "members", "list the entry hosts"),
     _Command(("explain",), (), "explain", "show where a request would go, and why", False),
-    _Command(("drain",), ("upstream|entry", "ID"), "drain", "give it no new work"),
+    _Command(("drain",), ("upstream|entry", "ID"), "drain", "stop sending it new work"),
     _Command(("undrain",), ("upstream|entry", "ID"), "undrain", "end a drain"),
     _Command(("new-id",), (), "new_id", "print a new id for --change_id", False),
     _Command(("hash-key",), (), "hash_key", "print the digest of the key on input", False),
-    _Command(("keygen",), ("FOLDER", "NAME"), "keygen", "make a process's link keys", False),
+    _Command(("keygen",), ("FOLDER", "NAME"), "keygen", "generate a process's link keys", False),
     _Command(("orders", "list"), (), "orders_list", "list the orders to engines"),
-    _Command(("orders", "issue"), ("FILE",), "orders_issue", "declare what engines should hold"),
+    _Command(
+        ("orders", "issue"), ("FILE",), "orders_issue", "declare the desired state of engines"
+    ),
     _Command(("voters", "add"), ("ID",), "voters_add", "add a control replica"),
     _Command(("voters", "remove"), ("ID",), "voters_remove", "remove a control replica"),
 )
 
 
 def parse(arguments: Sequence[str]) -> _ctl_types.Request:
-    """Return what the command line asks for.
+    """Return the parsed command line.
 
     Raises:
-        HelpRequested: It asks for help.
-        flags.Error: It has an unknown or malformed flag.
-        errors.MedlarError: Its command, arguments or settings file have mistakes.
+        HelpRequested: The command line requests help.
+        flags.Error: A flag is unknown or malformed.
+        errors.MedlarError: The command, its arguments or the settings file have mistakes.
     """
     values = _define()
     words = values(list(arguments))[1:]
@@ -104,9 +106,9 @@
 
 
 def _define() -> flags.FlagValues:
-    """Return new flags, so that parsing twice in one process leaves nothing behind."""
+    """Return new flag definitions, so that repeated parsing in one process shares no state."""
     values = flags.FlagValues()
-    # Flags may also follow the command.
+    # Allow flags after the command.
     values.set_gnu_getopt(True)
     common = {"flag_values": values}
     flags.DEFINE_bool("help", False, "show this text", short_name="h", **common)
@@ -115,17 +117,17 @@
     flags.DEFINE_list("entry", None, "addresses of entry hosts, for explain", **common)
     flags.DEFINE_string("operator", None, "your name, for the history", **common)
     flags.DEFINE_string("operator_key_file", None, "file that holds your key", **common)
-    flags.DEFINE_enum("output", None, ["text", "json"], "form of the output", **common)
+    flags.DEFINE_enum("output", None, ["text", "json"], "output format", **common)
     flags.DEFINE_float("patience_s", None, "seconds to look for a leader", **common)
     flags.DEFINE_float("wait_s", None, "seconds that --wait waits at most", **common)
     flags.DEFINE_bool("wait", False, "return once the change is in force", **common)
-    flags.DEFINE_string("change_id", "", "id of a change that is sent again", **common)
-    flags.DEFINE_integer("base_revision", None, "revision a change is made from", **common)
+    flags.DEFINE_string("change_id", "", "id of the change, to retry it safely", **common)
+    flags.DEFINE_integer("base_revision", None, "revision that the change is based on", **common)
     flags.DEFINE_string("account", "", "explain: client account", **common)
-    flags.DEFINE_string("model", "", "explain: model asked for", **common)
-    flags.DEFINE_string("path", "", "explain: path asked for, /services/...", **common)
+    flags.DEFINE_string("model", "", "explain: requested model", **common)
+    flags.DEFINE_string("path", "", "explain: requested path, /services/...", **common)
     flags.DEFINE_string("method", "", "explain: HTTP method", **common)
-    flags.DEFINE_bool("stream", False, "explain: whether a stream is asked for", **common)
+    flags.DEFINE_bool("stream", False, "explain: whether a stream is requested", **common)
     flags.DEFINE_string("labels", "", "explain: caller's labels, k=v,k2=v2", **common)
     return values
 
--- a/src/medlarfork/operator/_ctl_render.py
+++ b/src/medlarfork/operator/_ctl_render.py
@@ -1,4 +1,4 @@
-"""Turn control's replies into tables for people to read."""
+"""Render control's replies as text."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 _EMPTY = "-"
 
 _PROBLEM_WIDTH = 40
-"""Characters of a connection problem that a table shows."""
+"""Maximum width of the column that shows connection problems, in characters."""
 
 _AHEAD_REMEDY = (
     "Revisions of an earlier log are no part of this one. Restart these entry hosts, one after "
@@ -23,11 +23,11 @@
     *("CONTROL", "ID", "ROLE", "TERM", "LEASE", "COMMITTED", "REVISION", "CLAIMS"),
     "PROBLEM",
 )
-"""Columns of the control hosts; the last one only if a host did not answer."""
+"""Columns of the table of control hosts; the last is shown only if a host did not answer."""
 
 
 def table(headings: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Return a plain table whose columns are as wide as their widest cell."""
+    """Return a plain-text table with aligned columns."""
     cells = [[str(heading) for heading in headings]]
     cells += [[str(cell) if cell != "" else _EMPTY for cell in row] for row in rows]
     widths = [max(len(row[column]) for row in cells) for column in range(len(headings))]
@@ -39,7 +39,7 @@
 
 
 def history(reply: operations.HistoryReply) -> str:
-    """Return the accepted changes, newest first."""
+    """Return the table of accepted changes, newest first."""
     return table(
         ("REVISION", "ACCEPTED", "OPERATOR", "FROM", "CHANGE"),
         (
@@ -56,7 +56,12 @@
 
 
 def members(statuses: Sequence[operations.MemberStatus], current: int) -> str:
-    """Return the entry hosts with the revisions they confirmed; ``current`` is control's own."""
+    """Return the table of entry hosts with their confirmed revisions.
+
+    Args:
+        statuses: The entry hosts.
+        current: Control's current revision.
+    """
     ahead = [item.member.entry_id for item in statuses if item.revision > current]
     listed = table(
         ("ENTRY", "STATE", "DATA CENTRE", "REVISION", "LOAD", "ADDRESS"),
@@ -78,7 +83,7 @@
 def statuses(
     reply_by_address: Mapping[str, operations.StatusReply], problem_by_address: Mapping[str, str]
 ) -> str:
-    """Return how the control hosts stand, and what the leader knows of the entry hosts."""
+    """Return the status of the control hosts, and the entry hosts that the leader knows."""
     rows: list[tuple[Any, ...]] = []
     for address, reply in reply_by_address.items():
         lease = "yes" if reply.has_lease else "no"
@@ -111,10 +116,10 @@
 
 
 def in_force(reply: operations.InForceReply) -> str:
-    """Return where a revision is in force."""
+    """Return at which entry hosts a revision is in force, and at which it is not yet."""
     lines = [f"revision {reply.revision} is in force at: {_names(reply.confirmed)}"]
     if not reply.confirmed:
-        # "in force at: nobody" is too easily read as a success.
+        # "in force at: no entry host" could be mistaken for success.
         why = "no entry host has confirmed it" if reply.waiting else "no entry host holds a lease"
         lines = [f"revision {reply.revision} is in force nowhere: {why}"]
     late = [entry_id for entry_id in reply.waiting if entry_id not in reply.ahead]
@@ -139,7 +144,7 @@
 
 
 def utc(unix_ms: int) -> str:
-    """Return a time as text in UTC."""
+    """Return a time formatted in UTC."""
     moment = datetime.datetime.fromtimestamp(unix_ms / 1000, tz=datetime.UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%SZ")
 
@@ -151,13 +156,13 @@
 
 
 def _ahead(entry_ids: Iterable[str]) -> list[str]:
-    """Return what to do about entry hosts whose revision is above control's own."""
+    """Return the lines about entry hosts whose revision is higher than control's."""
     listed = ", ".join(entry_ids)
     return [f"holds a later revision than control has: {listed}", _AHEAD_REMEDY] if listed else []
 
 
 def _short_problem(problem: str, address: str) -> str:
-    """Return a problem that fits a column; the row names the address already."""
+    """Return a problem cut to the column width, without the address that the row shows."""
     text = problem.removeprefix(f"Can't connect to {address}: ")
     return text if len(text) <= _PROBLEM_WIDTH else f"{text[: _PROBLEM_WIDTH - 3]}..."
 
--- a/src/medlarfork/operator/_ctl_types.py
+++ b/src/medlarfork/operator/_ctl_types.py
@@ -1,4 +1,4 @@
-"""Define what the parts of ``medlarctl`` hand to each other."""
+"""Types shared by the modules of ``medlarctl``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """Number the exit statuses of ``medlarctl``."""
+    """Exit status of ``medlarctl``."""
 
     OK = 0
     REFUSED = 1
@@ -23,7 +23,7 @@
 
     @property
     def meaning(self) -> str:
-        """Return what the status says, for the help text."""
+        """Return the description of the status for the help text."""
         match self:
             case ExitStatus.OK:
                 return "it was done"
@@ -38,11 +38,11 @@
 
 
 class UsageError(errors.MedlarError):
-    """Report a command line that can't be carried out."""
+    """A command line with mistakes."""
 
 
 class OutputFormat(enum.StrEnum):
-    """Name the forms of what is printed."""
+    """Format of the output."""
 
     TEXT = "text"
     JSON = "json"
@@ -50,16 +50,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CtlSettings:
-    """Hold the settings of ``medlarctl``; flags of the same names replace them.
+    """Settings of ``medlarctl``; flags of the same names override them.
 
     Attributes:
         control: Base addresses of the control hosts, ``http://IP:PORT``.
         entry: Base addresses of entry hosts, for ``explain``.
-        operator: Name that the history shows.
+        operator: Name of the operator for the history of changes.
         operator_key_file: File that holds the operator's key.
-        output: Form of the output.
-        patience_s: How long to look for a leader, in seconds.
-        wait_s: How long ``apply --wait`` waits, in seconds.
+        output: Output format.
+        patience_s: Timeout for finding a leader, in seconds.
+        wait_s: Timeout of ``--wait``, in seconds.
     """
 
     control: tuple[str, ...] = ()
@@ -73,16 +73,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one command line.
+    """One parsed command line.
 
     Attributes:
         command: Name of the subcommand.
-        arguments: What follows it.
-        settings: Settings and flags together.
+        arguments: Arguments of the subcommand.
+        settings: Settings with flags applied.
         wait: Whether to wait until a change is in force.
-        change_id: Id to send a change with; empty to make one.
-        base_revision: Revision a change was made from; None for the current one.
-        account: For ``explain``, as the five below.
+        change_id: Id of the change; empty to generate one.
+        base_revision: Revision that the change is based on; None for that of the file, or
+            the current one.
+        account: For ``explain``, like the five fields after it.
     """
 
     command: str
@@ -101,12 +102,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """Hold what a command found.
+    """Result of a command.
 
     Attributes:
-        reply: What ``--output=json`` prints.
-        text: What ``--output=text`` prints.
-        status: The exit status.
+        reply: Output of ``--output=json``.
+        text: Output of ``--output=text``.
+        status: Exit status.
     """
 
     reply: Any
@@ -116,13 +117,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Environment:
-    """Hand a command what it may use besides its arguments.
+    """Input, output, clock and randomness that commands use.
 
     Attributes:
         read_input: Reads standard input.
-        print_stderr: Prints a line on standard error at once.
+        print_stderr: Prints a line to standard error and flushes it.
         time_ms: Returns Unix milliseconds.
-        random_bytes: Returns so many random bytes.
+        random_bytes: Returns the given number of random bytes.
     """
 
     read_input: Callable[[], str]
--- a/src/medlarfork/operator/_orders_api.py
+++ b/src/medlarfork/operator/_orders_api.py
@@ -1,4 +1,4 @@
-"""Translate operators' HTTP requests about orders to engines to and from the order board."""
+"""Translate operators' HTTP requests and replies about orders to engines."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def list_orders(query: dict[str, str], body: bytes, operator: str) -> operations.Request:
-    """Return the request for what is declared, in progress, waiting and finished."""
+    """Return the request for the declarations and the orders in progress, waiting and finished."""
     return operations.GetOrders()
 
 
 def declare(query: dict[str, str], body: bytes, operator: str) -> operations.Request:
-    """Return the request that declares what engines should hold; repeating it is safe.
+    """Return the request that declares the desired state of engines; retrying it is safe.
 
     Raises:
-        ValueError: The change id is no UUID of version 7 in lower case.
-        msgspec.MsgspecError: The body is no ``order_types.Declare``.
+        ValueError: The change id is not a lower-case UUIDv7.
+        msgspec.MsgspecError: The body can't be decoded as ``order_types.Declare``.
     """
     command = msgspec.json.decode(body, type=order_types.Declare)
     if uuid7.time_ms(command.change_id) is None or command.change_id.lower() != command.change_id:
@@ -32,7 +32,7 @@
 
 
 def reply_to(request: operations.Request, reply: operations.Reply) -> operations.Reply:
-    """Return the reply in readable form; others than the order board's stay as they are."""
+    """Return the decoded reply of the order board; other replies are returned unchanged."""
     if not isinstance(reply, operations.SubStateReply):
         return reply
     assert isinstance(request, operations.AskSubState)
--- a/src/medlarfork/operator/ctl_program.py
+++ b/src/medlarfork/operator/ctl_program.py
@@ -1,4 +1,4 @@
-"""Run ``medlarctl``, the operators' command line."""
+"""Entry point of ``medlarctl``, the operators' command line."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run a command line, whose first item names the program, and return its exit status."""
+    """Run a command line, starting with the program name, and return the exit status."""
     try:
         request = _ctl_flags.parse(arguments)
     except _ctl_flags.HelpRequested as help_request:
--- a/src/medlarfork/operator/operations_api.py
+++ b/src/medlarfork/operator/operations_api.py
@@ -1,4 +1,4 @@
-"""Serve operators' requests over HTTP on a control host."""
+"""HTTP API for operators on a control host."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from medlarfork.operator import _orders_api, operations
 
 Ask = Callable[[operations.Request], Awaitable[operations.Reply]]
-"""Put a request to the control node and return its reply."""
+"""Function that sends a request to the control node and returns its reply."""
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Content type of the metrics."""
+"""Content type of the Prometheus text format."""
 
 _JSON = {"Content-Type": "application/json"}
 _TEXT = {"Content-Type": "text/plain"}
@@ -47,7 +47,7 @@
 
 
 class OperationsApi:
-    """Turn HTTP requests into operators' requests, and replies into JSON."""
+    """Decodes operators' requests from HTTP and encodes the replies as JSON."""
 
     def __init__(
         self,
@@ -57,7 +57,14 @@
         allow_anyone: bool,
         render_metrics: Callable[[], bytes],
     ) -> None:
-        """Answer for these operators; ``allow_anyone`` lets everyone in under any name."""
+        """Create the API.
+
+        Args:
+            ask: Sends a request to the control node.
+            operators: Operators that are authenticated by key.
+            allow_anyone: Whether requests are accepted without authentication, under any name.
+            render_metrics: Returns the metrics in text format.
+        """
         self._ask = ask
         self._operators = tuple(operators)
         self._allow_anyone = allow_anyone
@@ -77,7 +84,7 @@
                 await self._serve_operator(exchange)
 
     async def _serve_readiness(self, exchange: http_server.Exchange) -> None:
-        """Say whether this replica leads, or knows who does."""
+        """Report ready if this replica leads with a lease, or follows a known leader."""
         status = await self._ask(operations.GetStatus())
         assert isinstance(status, operations.StatusReply)
         leads = status.leader_id == status.replica_id
@@ -105,7 +112,7 @@
         await _respond(exchange, reply)
 
     def _operator(self, authorization: str) -> str | None:
-        """Return the operator's name; empty if anyone may ask, None if this one may not."""
+        """Return the operator's name; empty if anyone is allowed, None if not authenticated."""
         if self._allow_anyone:
             return ""
         scheme, _, key = authorization.partition(" ")
@@ -113,7 +120,7 @@
             return None
         digest = hashlib.sha256(key.strip().encode("utf-8", "surrogateescape")).hexdigest()
         found = None
-        # Every digest is compared, so that the time taken says nothing about which one matched.
+        # Compare every digest, so that the response time doesn't reveal which one matched.
         for operator in self._operators:
             if hmac.compare_digest(digest, operator.key_sha256.lower()):
                 found = operator.name
--- a/src/medlarfork/operator/operator_client.py
+++ b/src/medlarfork/operator/operator_client.py
@@ -1,4 +1,4 @@
-"""Talk to control as an operator: find the leader, and resend what is safe to resend."""
+"""Operators' client for control: finds the leader and retries requests that are safe to resend."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 T = TypeVar("T")
 
 _RETRY_INTERVAL_S = 0.2
-"""Time between two rounds over the control hosts, in seconds."""
+"""Interval between two rounds over the control hosts, in seconds."""
 
 _MISDIRECTED = 421
 _NEXT_HOST_CODES = frozenset(
     {errors.Code.NOT_LEADER.value, errors.Code.NO_QUORUM.value, errors.Code.UNCERTAIN.value}
 )
-"""Refusals that another host, or the same one a little later, may not repeat."""
+"""Refusals after which another host, or the same one later, may accept the request."""
 
 
 class Http(Protocol):
-    """Send one HTTP request, as ``http_client.HttpClient`` does."""
+    """Interface of the HTTP client, implemented by ``http_client.HttpClient``."""
 
     async def request(
         self,
@@ -44,20 +44,20 @@
         *,
         timeout_s: float | None = None,
     ) -> http_client.Response:
-        """Return the answer once its head is in."""
+        """Send a request and return the response once its head has been received."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientSettings:
-    """Say whom to ask and how long.
+    """Settings of the client.
 
     Attributes:
         controls: Base addresses of the control hosts, ``http://IP:PORT``.
-        operator_key: Key that authenticates the operator; empty sends none.
-        operator: Name that the history shows where control authenticates nobody.
-        request_s: How long one request may take, in seconds.
-        patience_s: How long to look for a leader before giving up, in seconds.
+        operator_key: Key that authenticates the operator; empty for none.
+        operator: Name for the history of changes, if control authenticates nobody.
+        request_s: Timeout of one request, in seconds.
+        patience_s: Timeout for finding a leader, in seconds.
     """
 
     controls: tuple[str, ...]
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorDetail:
-    """Hold what a refusal says; absent parts are empty."""
+    """Content of a refusal; absent fields are empty."""
 
     code: str = ""
     message: str = ""
@@ -91,7 +91,7 @@
 
     @property
     def detail(self) -> ErrorDetail:
-        """Return the refusal that the body holds, as far as it can be read."""
+        """Return the refusal in the body, or a generic one if it can't be decoded."""
         try:
             return msgspec.json.decode(self.body, type=_ErrorBody).error
         except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -99,10 +99,10 @@
 
 
 class OperatorClient:
-    """Send operators' requests to whichever control host leads."""
+    """Sends operators' requests to the leading control host."""
 
     def __init__(self, http: Http, settings: ClientSettings) -> None:
-        """Wire the client; the HTTP client is started and closed by its owner."""
+        """Create the client; the caller starts and closes the HTTP client."""
         self._http = http
         self._settings = settings
         self._preferred = ""
@@ -110,10 +110,10 @@
     async def apply(
         self, change_id: str, base_revision: int, configuration: configurations.Configuration
     ) -> operations.ChangeAccepted:
-        """Replace the configuration; resent with the same id until control answers.
+        """Replace the configuration; the change is resent with the same id until control answers.
 
         Raises:
-            errors.OperatorError: It was refused, for example because another change came first.
+            errors.OperatorError: The change was refused, for example because of a conflict.
             errors.ControlUnreachableError: No leader answered in time.
         """
         change = operations.ApplyChange(
@@ -124,7 +124,7 @@
         return operations.ChangeAccepted(change_id, accepted.revision)
 
     async def configuration(self, revision: int | None = None) -> operations.ConfigurationReply:
-        """Return the configuration of a revision; None asks for the current one."""
+        """Return the configuration of a revision; None for the current one."""
         query = "" if revision is None else f"?revision={revision}"
         return await self._ask("GET", f"/v1/configuration{query}", operations.ConfigurationReply)
 
@@ -137,7 +137,7 @@
         return await self._ask("GET", "/v1/members", operations.MembersReply)
 
     async def knows_upstream(self, upstream_id: str) -> bool:
-        """Return whether entry hosts report an upstream of that id at the moment."""
+        """Return whether entry hosts currently report an upstream of that id."""
         target = f"/v1/upstreams?{urllib.parse.urlencode({'id': upstream_id})}"
         reply = await self._ask("GET", target, operations.KnownUpstreams)
         return upstream_id in reply.upstream_ids
@@ -148,26 +148,26 @@
         return await self._ask("GET", target, operations.InForceReply)
 
     async def change_voters(self, *, add: str = "", remove: str = "") -> operations.VotersChanged:
-        """Add or remove one control replica; never resent once it may have arrived."""
+        """Add or remove one control replica; never resent if it may have been received."""
         body = msgspec.json.encode(operations.ChangeVoters(add=add, remove=remove))
         return await self._ask("POST", "/v1/voters", operations.VotersChanged, body, resend=False)
 
     async def orders(self) -> operations.OrdersReply:
-        """Return what engines should hold, which orders are in progress, and what waits."""
+        """Return the desired state of engines, the orders in progress, and what waits."""
         return await self._ask("GET", "/v1/orders", operations.OrdersReply)
 
     async def declare_order(self, declare: order_types.Declare) -> operations.ChangeAccepted:
-        """Declare what some engines should hold; sending it again gets the first answer."""
+        """Declare the desired state of some engines; a resent declaration gets the first reply."""
         body = msgspec.json.encode(declare)
         return await self._ask("POST", "/v1/orders", operations.ChangeAccepted, body)
 
     async def status(self, address: str) -> operations.StatusReply:
-        """Return how one control host stands, whether it leads or not."""
+        """Return the status of one control host, whether it leads or not."""
         answer = await self._send(address, "GET", "/v1/status", b"")
         return _decoded(answer, operations.StatusReply)
 
     async def explain(self, entry: str, query: Mapping[str, str]) -> Any:
-        """Ask an entry host which class and service a request would get, and why."""
+        """Return which class and service an entry host would choose for a request, and why."""
         target = f"/v1/explain?{urllib.parse.urlencode(query)}"
         return _decoded(await self._send(entry, "GET", target, b""), Any)
 
@@ -190,7 +190,7 @@
     async def _ask_each_host(
         self, method: str, target: str, body: bytes, resend: bool
     ) -> tuple[_Answer | None, str]:
-        """Ask each host once, going where they point; return an answer or the last problem."""
+        """Ask each host once, following leader hints; return an answer or the last problem."""
         pending = collections.deque((self._preferred,) if self._preferred else ())
         pending.extend(self._settings.controls)
         visited: set[str] = set()
@@ -233,7 +233,7 @@
 
 
 def _is_final(answer: _Answer, resend: bool) -> bool:
-    """Return whether no other host, nor the same one a little later, need be asked."""
+    """Return whether the answer is final, so that neither retry nor another host can help."""
     if answer.status < 400:
         return True
     code = answer.detail.code
@@ -243,12 +243,12 @@
 
 
 def _check_resend(error: errors.UpstreamError, resend: bool) -> None:
-    """Raise if the request may have arrived and must not be sent twice."""
+    """Raise an error if the request may have been received and must not be resent."""
     if resend or isinstance(error, errors.RequestNotSentError):
         return
     raise errors.ControlUnreachableError(
         f"The reply was lost, so the request may have been carried out: {error.problem}",
-        remedy="Look at medlarctl status before you repeat it.",
+        remedy="Check medlarctl status before you repeat it.",
         code=errors.Code.UNCERTAIN,
     ) from error
 
@@ -260,13 +260,13 @@
         return msgspec.json.decode(answer.body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise errors.OperatorError(
-            f"The reply could not be understood: {error}.",
+            f"The reply could not be decoded: {error}.",
             remedy="Run the medlarctl of the same version as the hosts.",
         ) from error
 
 
 def refusal(detail: ErrorDetail) -> errors.OperatorError:
-    """Return a refusal as an error that names the remedy and, for a conflict, the winner."""
+    """Return a refusal as an error, including the remedy and the accepted change of a conflict."""
     problem = detail.message or "The request was refused."
     winner = detail.winner
     if winner is not None and winner.change_id not in problem:
@@ -275,7 +275,7 @@
             f"as revision {winner.revision}."
         )
     remedy = detail.remedy or "Correct the request and send it again."
-    # Some messages end with the remedy already.
+    # Some messages already end with the remedy.
     problem = problem.removesuffix(remedy).rstrip()
     for finding in detail.findings:
         problem += f"\n{finding}"
--- a/src/medlarfork/placement/placement_messages.py
+++ b/src/medlarfork/placement/placement_messages.py
@@ -124,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineEstimate:
-    """An owner's estimate of how a service's engines work (see ``engine_estimator``).
+    """An owner's estimate of how a service's engines work (see ``read_rate``).
 
     Attributes:
         tokens_per_ms: Prompt tokens prefilled per millisecond.
--- a/src/medlarfork/replica/__init__.py
+++ b/src/medlarfork/replica/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log, which can be embedded alone, and its journal on disk."""
+"""The replicated log, usable as a standalone component, and its journal on disk."""
--- a/src/medlarfork/replica/_disk_writer.py
+++ b/src/medlarfork/replica/_disk_writer.py
@@ -1,4 +1,4 @@
-"""Write a replica's records from a thread, so that a sync stops nothing else."""
+"""Write a replica's records in a thread, so that a sync does not block the event loop."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 _log = logging.getLogger(__name__)
 
 FULL_RETRY_S = 0.25
-"""Pause before a write that found no room is tried again, in seconds."""
+"""Delay before a write that failed on a full disk is retried, in seconds."""
 
 SLOW_S = 0.5
-"""Time from which a write with its sync is logged, in seconds: about half of what replicas wait for
-each other before they elect another leader, so that slow disks are seen where these change."""
+"""Duration above which a write with its sync is logged, in seconds: about half of the election
+timeout, so that slow disks show up in the log where leaders change."""
 
 Write = node.Persist | replica_types.SaveSnapshot
 
 
 class DiskWriter:
-    """Perform writes in order; those that wait while another is under way share one sync."""
+    """Perform writes in order; those queued during another write share one sync."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         on_synced: Callable[[node.Synced], Awaitable[None]],
         on_failed: Callable[[Exception], Awaitable[None]],
     ) -> None:
-        """Write to a journal that is started and closed by its owner."""
+        """Prepare to write to a journal, which its owner starts and closes."""
         self._journal = target
         self._on_synced = on_synced
         self._on_failed = on_failed
@@ -47,14 +47,14 @@
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
-        """Stop; a write under way is finished first, and what waits is dropped."""
+        """Stop; a write in progress is finished first, and queued writes are dropped."""
         self._queue.clear()
         if self._task is not None:
             await self._task.cancel()
             self._task = None
 
     async def write(self, action: Write) -> None:
-        """Let a write wait for its turn."""
+        """Queue a write."""
         self._queue.append(action)
         await self._wakeup.set()
 
@@ -64,7 +64,7 @@
             self._wakeup.clear()
             while self._queue:
                 try:
-                    # A cancelled thread would go on writing after the files are closed.
+                    # The thread of a cancelled task would still write after the files are closed.
                     async with curio.disable_cancellation():
                         token = await self._write_next()
                 except Exception as error:
@@ -73,7 +73,7 @@
                 await self._on_synced(node.Synced(token))
 
     async def _write_next(self) -> int:
-        """Write what may share a sync and return the last one's token."""
+        """Perform the queued writes that may share a sync, and return the last one's token."""
         action = self._queue.popleft()
         if isinstance(action, replica_types.SaveSnapshot):
             await self._retry_while_full(
@@ -91,7 +91,7 @@
         return token
 
     async def _retry_while_full(self, write: Callable[..., None], *arguments: object) -> None:
-        """Perform a write; while the disk is full, nothing is reported as synced."""
+        """Perform a write, and retry it for as long as the disk is full."""
         is_full = False
         started_at = time.monotonic()
         while True:
--- a/src/medlarfork/replica/_journal_format.py
+++ b/src/medlarfork/replica/_journal_format.py
@@ -1,14 +1,14 @@
-"""Lay out a journal file: a header, then one frame for each record.
+"""The format of a journal file: a header, then one frame per record.
 
-A frame is a marker, the record's length, how far the file was known to be synced when the frame was
-written, two checksums and the record. One checksum covers the frame alone, so that a whole frame is
-recognised wherever it lies; the other also covers the chained checksum of the frame before, so that
-lost, repeated and reordered frames are seen.
+A frame consists of a marker, the record's length, the offset up to which the file was known to be
+synced when the frame was written, two checksums and the record. One checksum covers the frame
+alone, so that a valid frame is recognised at any offset; the other also covers the chained checksum
+of the previous frame, so that lost, repeated and reordered frames are detected.
 
-After a power loss, each write since the last sync may be there, missing or torn, whatever became
-of the ones before it. So whole frames can follow a bad one. If one of them was written when it was
-known to be synced beyond the bad place, synced data is damaged; if none was, all from the bad place
-on is a tail that was never reported as synced.
+After a power loss, each write since the last sync may be present, missing or torn, independently of
+the writes before it. So valid frames can follow a bad one. If one of them was written when the file
+was known to be synced beyond the bad frame's offset, synced data is damaged; if none was,
+everything from that offset on is a tail that was never reported as synced.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from collections.abc import Iterable
 
 MAGIC = b"MEDLARJ2"
-"""First bytes of a journal file; they name the version of the format."""
+"""First bytes of a journal file, including the version of the format."""
 
 SALT_BYTES = 8
-"""Random bytes that tell a file's frames from those of any other file."""
+"""Number of random bytes that distinguish a file's frames from those of any other file."""
 
 MARKER = b"\xd7MJR"
 """First bytes of a frame."""
@@ -42,8 +42,8 @@
     Attributes:
         salt: Random bytes.
         has_snapshot: Whether the first record is a snapshot.
-        synced_bytes: Up to where the file was synced before it got its name: no part of that
-            can be a torn tail.
+        synced_bytes: Offset up to which the file was synced before it was renamed into place; no
+            part before it can be a torn tail.
     """
 
     salt: bytes
@@ -53,14 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contents:
-    """Hold what was read from a journal file.
+    """The decoded contents of a journal file.
 
     Attributes:
-        header: The header, None if it is bad.
-        records: The whole records up to the first bad frame.
-        good_bytes: Where the last whole frame ends.
+        header: The header, None if it is invalid.
+        records: The records before the first bad frame.
+        good_bytes: Offset at which the last valid frame ends.
         checksum: The chained checksum of that frame.
-        is_damaged: Whether more is wrong than a torn tail.
+        is_damaged: Whether the file is damaged other than by a torn tail.
     """
 
     header: Header | None
@@ -71,26 +71,26 @@
 
 
 def encode_header(header: Header) -> bytes:
-    """Return the first bytes of a file."""
+    """Return the encoded header of a file."""
     fields = _HEADER.pack(MAGIC, header.salt, header.has_snapshot, header.synced_bytes)
     return fields + _CHECKSUM.pack(zlib.crc32(fields))
 
 
 def first_checksum(salt: bytes) -> int:
-    """Return the checksum on which the first frame of a file builds."""
+    """Return the initial value of the checksum chain of a file."""
     return zlib.crc32(salt)
 
 
 def encode_frames(
     records: Iterable[bytes], *, salt: bytes, checksum: int, synced_bytes: int
 ) -> tuple[bytes, int]:
-    """Return the frames of some records, and the chained checksum of the last one.
+    """Return the encoded frames of records, and the chained checksum of the last one.
 
     Args:
-        records: What is written.
+        records: The records to encode.
         salt: The file's salt.
-        checksum: The chained checksum of the frame before.
-        synced_bytes: Up to where the file is known to be synced.
+        checksum: The chained checksum of the previous frame.
+        synced_bytes: Offset up to which the file is known to be synced.
     """
     parts: list[bytes] = []
     for record in records:
@@ -102,7 +102,7 @@
 
 
 def decode(data: bytes) -> Contents:
-    """Read a whole file."""
+    """Decode the contents of a journal file."""
     header = _decode_header(data)
     if header is None:
         return Contents(None, (), 0, 0, is_damaged=True)
@@ -138,7 +138,7 @@
 
 
 def _record_at(data: bytes, offset: int, salt: bytes) -> bytes | None:
-    """Return the record of the frame at an offset, None if there is no whole frame."""
+    """Return the record of the frame at an offset, None if there is no valid frame."""
     body = offset + _FRAME.size
     if body > len(data):
         return None
@@ -150,7 +150,7 @@
 
 
 def _is_synced_beyond(data: bytes, bad: int, salt: bytes) -> bool:
-    """Say whether a whole frame after a bad place was written when that place was synced."""
+    """Say whether a valid frame after a bad offset was written when that offset was synced."""
     offset = data.find(MARKER, bad)
     while offset >= 0:
         if _record_at(data, offset, salt) is not None:
--- a/src/medlarfork/replica/_replica_bootstrap.py
+++ b/src/medlarfork/replica/_replica_bootstrap.py
@@ -1,11 +1,12 @@
-"""Found a log whose replicas all have empty disks.
+"""Bootstrap a log whose replicas all have empty disks.
 
-The first of the initial voters, by id, is the founder. It asks every other one to bind its disk
-to the founder's; a replica does so only with an empty disk, once, and synced. When all have, the
-founder writes the first membership, which lists every disk, as the first entry of the log.
+The initial voter with the lowest id is the founder. It asks every other one to bind its disk to
+the founder's; a replica does so only once, with an empty disk, and replies after the sync. When
+all have accepted, the founder writes the first membership, which lists every disk, as the first
+entry of the log.
 
-One replica that is not empty, or is bound to another founder, stops this for good, so a founder
-that lost its disk can't found the log a second time beside the one that exists.
+A single replica whose disk is not empty, or is bound to another founder, prevents the bootstrap
+permanently. So a founder that lost its disk can't bootstrap a second log beside the existing one.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 
 class Bootstrap:
-    """Carry out the founder's part and answer it."""
+    """Send the founder's requests, and answer those of another founder."""
 
     def __init__(
         self, state: _replica_state.ReplicaState, initial_voters: replica_types.Voters
     ) -> None:
-        """Prepare; nothing is asked before ``on_due``."""
+        """Prepare; no request is sent before ``on_due``."""
         self._state = state
         self._voter_ids = tuple(sorted(set(initial_voters.voters)))
         self._disk_by_id: dict[str, int] = {}
@@ -32,11 +33,11 @@
 
     @property
     def due(self) -> float:
-        """Return when ``on_due`` has something to do."""
+        """Return when ``on_due`` must be called, infinity if never."""
         return self._request_due if self._is_pending_founder() else math.inf
 
     def on_due(self) -> None:
-        """Ask the replicas that have not accepted yet, or found the log."""
+        """Send requests to the other initial voters, and bootstrap the log if all accepted."""
         state = self._state
         if state.now < self.due:
             return
@@ -48,7 +49,7 @@
         self._bootstrap_if_unanimous()
 
     def on_request(self, sender: str, request: _replica_messages.FoundRequest) -> None:
-        """Bind this disk to the founder if it is empty, and accept if it is bound to it."""
+        """Bind this disk to the founder if it is still unbound; accept if it is bound to it."""
         state = self._state
         if not self._voter_ids or sender != self._voter_ids[0] or not self._is_empty():
             return
@@ -61,7 +62,7 @@
         state.send(sender, reply, after=state.disk.written)
 
     def on_reply(self, sender: str, reply: _replica_messages.FoundReply) -> None:
-        """Note an acceptance."""
+        """Record an acceptance."""
         if reply.founder_disk_id != self._state.me.disk_id or not self._is_pending_founder():
             return
         self._disk_by_id[sender] = reply.disk_id
--- a/src/medlarfork/replica/_replica_compaction.py
+++ b/src/medlarfork/replica/_replica_compaction.py
@@ -1,4 +1,4 @@
-"""Decide when the state machine is to be snapshotted, and cut the log once it was."""
+"""Decide when to take a snapshot of the state machine, and compact the log afterwards."""
 
 from __future__ import annotations
 
@@ -6,16 +6,19 @@
 
 
 class Compaction:
-    """Ask for one snapshot at a time."""
+    """Request snapshots of the state machine, one at a time."""
 
     def __init__(self, state: _replica_state.ReplicaState) -> None:
-        """Start with no snapshot asked for."""
+        """Start with no request pending."""
         self._state = state
         self._is_requested = False
         self._saved_by_sequence = 0
 
     def request_if_due(self) -> None:
-        """Ask for a snapshot if enough was applied since the last one, which must be on disk."""
+        """Request a snapshot if enough entries were applied since the last one.
+
+        The last one must be synced before.
+        """
         state = self._state
         if self._is_requested or self._saved_by_sequence > state.disk.synced:
             return
@@ -25,7 +28,7 @@
             state.actions.append(replica_types.TakeSnapshot(state.applied_index))
 
     def on_snapshot_taken(self, event: replica_types.SnapshotTaken) -> None:
-        """Save the snapshot, unless a later one came from the leader meanwhile."""
+        """Save the snapshot, unless a later one has arrived from the leader meanwhile."""
         state = self._state
         self._is_requested = False
         is_old = state.snapshot is not None and event.index <= state.snapshot.index
--- a/src/medlarfork/replica/_replica_election.py
+++ b/src/medlarfork/replica/_replica_election.py
@@ -1,4 +1,4 @@
-"""Ask for votes and grant them."""
+"""Request votes and grant them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Campaign:
-    """Collect the answers to one round of vote requests."""
+    """One round of vote requests and the votes granted in it."""
 
     def __init__(
         self,
@@ -16,7 +16,10 @@
         transferred: bool = False,
         unled: bool = False,
     ) -> None:
-        """Ask every other voter; a vote of one's own is recorded before it is counted."""
+        """Send requests to every other voter.
+
+        In a real (not preliminary) round, the candidate's own vote counts once it is synced.
+        """
         self.is_preliminary = preliminary
         self._state = state
         self._granted_by: set[_replica_records.Member] = set()
@@ -32,7 +35,7 @@
 
     @property
     def is_won(self) -> bool:
-        """Say whether a majority of the voters, on the disks they are known by, granted it."""
+        """Say whether a majority of the voters, on the disks listed for them, granted a vote."""
         state = self._state
         granted_by = set(self._granted_by)
         if not self.is_preliminary and state.disk.synced >= state.term_sequence:
@@ -68,11 +71,11 @@
 
 
 def must_ignore(state: _replica_state.ReplicaState, request: _replica_messages.VoteRequest) -> bool:
-    """Say whether a vote request must not even be answered.
+    """Say whether a vote request must be left unanswered.
 
-    A leader may count on the silence of all who heard it within the lease, unless it handed over
-    itself or there is none (see ``_replica_restart``). A disk that no membership lists has
-    nothing to vote with.
+    A replica that heard from a leader within the lease must not answer, since the leader relies on
+    that; except if the leader itself transferred leadership, or no lease is in effect (see
+    ``_replica_restart_election``). A replica on a disk that no active membership lists has no vote.
     """
     if not _may_vote(state):
         return True
@@ -84,7 +87,10 @@
 def answer(
     state: _replica_state.ReplicaState, sender: str, request: _replica_messages.VoteRequest
 ) -> bool:
-    """Answer a vote request of at most the current term; True if a vote was given."""
+    """Reply to a vote request; True if a vote was granted.
+
+    The request's term is at most the current one, or the request is preliminary.
+    """
     granted = _is_up_to_date(state, request) and (
         request.term > state.term if request.preliminary else _is_vote_free(state, request)
     )
--- a/src/medlarfork/replica/_replica_follower.py
+++ b/src/medlarfork/replica/_replica_follower.py
@@ -1,4 +1,4 @@
-"""Follow a leader: take its entries and snapshots."""
+"""Follow a leader: append its entries and install its snapshots."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Follower:
-    """Hold what a replica knows about the leader's log in the current term."""
+    """The follower's side of replication in the current term."""
 
     def __init__(self, state: _replica_state.ReplicaState) -> None:
         """Start without a leader."""
@@ -21,11 +21,11 @@
         self._verified_index = 0
 
     def on_new_term(self) -> None:
-        """Forget what was known about the last leader's log; committed entries are in each."""
+        """Reset the verified index: of another leader's log, only committed entries are known."""
         self._verified_index = self._state.commit_index
 
     def on_append(self, leader_id: str, request: _replica_messages.AppendRequest) -> None:
-        """Take entries, or a heartbeat, from the leader of the current term."""
+        """Handle entries, or a heartbeat, from the leader of the current term."""
         state = self._state
         previous = request.previous_index
         is_known_to_match = previous <= state.commit_index
@@ -42,7 +42,7 @@
             self._reply(leader_id, request.sent_at, matched=True)
 
     def on_chunk(self, leader_id: str, chunk: _replica_messages.SnapshotChunk) -> None:
-        """Take a piece of a snapshot from the leader of the current term."""
+        """Handle a chunk of a snapshot from the leader of the current term."""
         if chunk.index <= self._state.commit_index:
             self._reply(leader_id, chunk.sent_at, matched=True)
             return
@@ -58,7 +58,7 @@
         self._state.send(leader_id, reply)
 
     def _append_new(self, entries: tuple[_replica_records.Entry, ...]) -> bool:
-        """Append what is new, dropping what contradicts it; True if anything was written."""
+        """Append new entries, truncating conflicting ones; True if anything was written."""
         state = self._state
         wrote = False
         for entry in entries:
@@ -73,7 +73,7 @@
         return wrote
 
     def _install(self, data: bytes) -> None:
-        """Replace the state by a snapshot; entries that follow it are kept."""
+        """Replace the state by a snapshot; entries that match and follow it are kept."""
         state = self._state
         snapshot = _replica_records.RECORD_CODEC.unpack(data)
         kept = []
@@ -91,7 +91,7 @@
         state.send(leader_id, reply)
 
     def _retry_index(self) -> int:
-        """Return from where the leader can try again: past it the logs may differ."""
+        """Return the index after which the leader can retry; beyond it the logs may differ."""
         return self._verified_index
 
     def _reply_when_synced(self, leader_id: str, sent_at: float) -> None:
--- a/src/medlarfork/replica/_replica_leader.py
+++ b/src/medlarfork/replica/_replica_leader.py
@@ -1,4 +1,4 @@
-"""Lead a term: replicate, commit, and know how long leadership is certain."""
+"""Lead a term: replicate and commit entries, and keep the lease."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Leader:
-    """Hold what exists only while this replica leads one term."""
+    """The state and behaviour of a replica while it leads one term."""
 
     def __init__(self, state: _replica_state.ReplicaState) -> None:
-        """Take the lead: append an entry of the new term, since only such entries commit."""
+        """Append a no-op entry of the new term: earlier entries can only be committed with it."""
         self._state = state
         self._elected_at = state.now
         self._heartbeat_due = state.now
@@ -32,16 +32,16 @@
 
     @property
     def due(self) -> float:
-        """Return when ``on_due`` has something to do."""
+        """Return when ``on_due`` or ``must_step_down`` must be evaluated next."""
         return min(self._heartbeat_due, self._transfer_deadline)
 
     @property
     def must_step_down(self) -> bool:
         """Say whether this replica must stop leading.
 
-        It must when no majority answered for a lease, when a transfer did not succeed (the
-        target may still campaign, so no lease could be trusted), or when a committed membership
-        leaves it out.
+        It must if no majority has answered within a lease, if a transfer did not succeed in time
+        (the target may still campaign, so no lease would be safe), or if a committed membership
+        doesn't list it as a voter.
         """
         state = self._state
         if state.now >= self._transfer_deadline:
@@ -52,7 +52,7 @@
         return left_out and state.commit_index >= state.log.membership_index
 
     def holds_lease(self, now: float) -> bool:
-        """Say whether no other replica can lead at this time, and all before it is applied."""
+        """Say whether no other replica can lead now and all earlier terms' entries are applied."""
         if self._transfer_to or self._state.applied_index < self._first_index:
             return False
         options = self._state.options
@@ -60,14 +60,14 @@
         return now < self._quorum_time(now) + margin
 
     def propose(self, proposal_id: str, command: bytes) -> None:
-        """Append a command, unless too many are open or leadership is being handed over."""
+        """Append a command, unless too many are uncommitted or leadership is being transferred."""
         if self._transfer_to or self._is_full():
             self._refuse(proposal_id)
             return
         self._append(_replica_records.EntryKind.COMMAND, command, proposal_id=proposal_id)
 
     def change_voters(self, event: replica_types.ChangeVoters) -> None:
-        """Append a membership with one replica more or fewer."""
+        """Append a membership with one replica added or removed."""
         membership = _replica_membership.changed(self._state.membership, event)
         is_ready = not self._transfer_to and self._may_change_membership()
         if membership is None or not is_ready or not self._has_live_quorum(membership):
@@ -76,10 +76,11 @@
         self._append_membership(membership, event.proposal_id)
 
     def _has_live_quorum(self, membership: _replica_records.Membership) -> bool:
-        """Say whether enough voters of a membership answer for it to commit anything.
+        """Say whether a majority of a membership's voters has answered within a lease.
 
-        Else nobody could be elected once this leader is lost: a sound voter was let go while
-        another had lost its disk, and the two that were left never had a majority again.
+        Otherwise nothing could be committed, and nobody elected once this leader is lost. For
+        example, if a live voter of three were removed while another has lost its disk, the two
+        that remain would never have a majority again.
         """
         state = self._state
         live = [
@@ -91,13 +92,13 @@
         return len(live) >= membership.quorum
 
     def transfer(self) -> None:
-        """Hand over to the live voter whose log is longest."""
+        """Start to transfer leadership to the live voter with the longest matching log."""
         state = self._state
-        live = state.now - state.options.lease_s
+        live_after = state.now - state.options.lease_s
         targets = [
             progress
             for progress in self._progress_by_id.values()
-            if progress.member in state.membership.voters and progress.acked_at > live
+            if progress.member in state.membership.voters and progress.acked_at > live_after
         ]
         if self._transfer_to or not targets:
             return
@@ -107,7 +108,7 @@
         self._request_campaign(target)
 
     def on_due(self) -> None:
-        """Send heartbeats if it is time."""
+        """Send heartbeats if they are due."""
         if self._state.now < self._heartbeat_due:
             return
         self._heartbeat_due = self._state.now + self._state.options.heartbeat_s
@@ -115,7 +116,7 @@
             self._send_heartbeat(replica_id, progress)
 
     def on_append_reply(self, sender: str, reply: _replica_messages.AppendReply) -> None:
-        """Take in how far a follower is."""
+        """Update a follower's progress."""
         progress = self._accept_reply(sender, reply)
         if progress is None:
             return
@@ -131,7 +132,7 @@
             self._request_campaign(progress)
 
     def on_chunk_reply(self, sender: str, reply: _replica_messages.SnapshotChunkReply) -> None:
-        """Send the next piece of a snapshot."""
+        """Send the next chunk of a snapshot."""
         progress = self._accept_reply(sender, reply)
         if progress is None or progress.transfer is None:
             return
@@ -139,9 +140,9 @@
             self._send_chunk(sender, progress)
 
     def advance(self) -> None:
-        """Commit what a majority has on disk and send what followers lack.
+        """Commit the entries that a majority has synced, and send followers those they lack.
 
-        Only entries of the own term are counted; earlier ones commit with them.
+        Only entries of this leader's term are counted; earlier ones are committed with them.
         """
         state = self._state
         index = min(self._majority_index(), state.log.last_index)
@@ -161,7 +162,7 @@
         return self._progress_by_id[voter.replica_id].match_index
 
     def _quorum_time(self, now: float | None = None) -> float:
-        """Return a time at which a majority is known to have followed this leader."""
+        """Return the latest time at which a majority is known to have followed this leader."""
         membership = self._state.membership
         own_time = self._state.now if now is None else now
         times = [
@@ -205,15 +206,15 @@
         self._update_followers()
 
     def _may_change_membership(self) -> bool:
-        """Say whether no change is open and this term has committed an entry.
+        """Say whether no change is uncommitted and this term has committed an entry.
 
-        Both are needed for majorities of successive memberships to overlap.
+        Both are needed for majorities of consecutive memberships to overlap.
         """
         needed = max(self._first_index, self._state.log.membership_index)
         return self._state.commit_index >= needed
 
     def _update_followers(self) -> None:
-        """Keep a progress for every other member, on the disk that the membership names."""
+        """Keep the progress of every other member on its listed disk; drop that of others."""
         state = self._state
         old_progress_by_id = self._progress_by_id
         self._progress_by_id = {}
@@ -230,10 +231,10 @@
         sender: str,
         reply: _replica_messages.AppendReply | _replica_messages.SnapshotChunkReply,
     ) -> _replica_progress.Progress | None:
-        """Return the follower's progress, or None if the reply does not count.
+        """Return the follower's progress, or None if the reply must be ignored.
 
-        It does not if it belongs to an earlier term, or comes from a disk that the membership
-        does not name.
+        It is ignored if it belongs to another term or comes from a disk that the membership does
+        not list; a new disk of a member is handled by ``_replace_disk``.
         """
         progress = self._progress_by_id.get(sender)
         follower = reply.follower
@@ -251,9 +252,10 @@
         follower: _replica_records.Member,
         sent_at: float,
     ) -> None:
-        """Make a replica that came back on another disk a learner.
+        """Make a replica that returned on another disk a learner.
 
-        An answer older than one from the known disk is a late one from the disk that is gone.
+        A reply to an older message than the listed disk has answered is a delayed one from a disk
+        that is gone.
         """
         if sent_at <= progress.acked_at or not self._may_change_membership():
             return
@@ -261,7 +263,7 @@
         self._progress_by_id[follower.replica_id].acked_at = sent_at
 
     def _promote_if_caught_up(self, progress: _replica_progress.Progress) -> None:
-        """Give a learner its vote once it caught up with the log in a short round."""
+        """Make a learner a voter once it has completed a catch-up round fast enough."""
         state = self._state
         if progress.member not in state.membership.learners:
             return
@@ -275,13 +277,13 @@
             self._append_membership(state.membership.with_voter(progress.member))
 
     def _request_campaign(self, target: _replica_progress.Progress) -> None:
-        """Tell the transfer's target to campaign once it holds the whole log."""
+        """Ask the transfer's target to campaign if it holds the complete log."""
         if target.match_index == self._state.log.last_index:
             message = _replica_messages.TimeoutNow(self._state.term)
             self._state.send(target.member.replica_id, message)
 
     def _send_heartbeat(self, replica_id: str, progress: _replica_progress.Progress) -> None:
-        """Send a message without entries, and a piece of a snapshot again if it seems lost."""
+        """Send a message without entries, and resend a chunk of a snapshot if it seems lost."""
         state = self._state
         resend_after_s = state.options.election_timeout_min_s
         if progress.transfer is not None and state.now > progress.transfer.sent_at + resend_after_s:
--- a/src/medlarfork/replica/_replica_log.py
+++ b/src/medlarfork/replica/_replica_log.py
@@ -1,4 +1,4 @@
-"""Keep a replica's log in memory, and how far it is on disk."""
+"""A replica's log in memory, with the index up to which it is on disk."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class ReplicaLog:
     """Hold the entries after a base index.
 
-    Entries carry the sequence number of the disk write that holds them. A later entry always has
+    Each entry has the sequence number of the disk write that holds it. A later entry always has
     a later write, so the synced part of the log is a prefix.
 
     Attributes:
-        base_index: The index before the first entry held.
-        durable_index: The end of the synced prefix.
+        base_index: The index before the first entry held in memory.
+        durable_index: The last index of the synced prefix.
     """
 
     def __init__(self, snapshot: _replica_records.SnapshotRecord | None) -> None:
@@ -62,7 +62,7 @@
         return self._entries[index - self.base_index - 1]
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, or None if the log does not reach it (any more)."""
+        """Return the term at an index, or None if it is compacted or beyond the log's end."""
         if index == self.base_index:
             return self._base_term
         if index < self.base_index or index > self.last_index:
@@ -70,7 +70,7 @@
         return self.entry(index).term
 
     def sequence_at(self, index: int) -> int:
-        """Return the disk write that holds an index."""
+        """Return the sequence number of the disk write that holds an index."""
         if index <= self.base_index:
             return self._base_sequence
         return self._sequences[index - self.base_index - 1]
@@ -78,7 +78,10 @@
     def entries_from(
         self, index: int, *, count: int, size_bytes: int
     ) -> tuple[_replica_records.Entry, ...]:
-        """Return up to ``count`` entries from an index on, and at least one if there is one."""
+        """Return up to ``count`` entries, starting at an index.
+
+        The first one is returned even if its command exceeds ``size_bytes``.
+        """
         start = index - self.base_index - 1
         batch: list[_replica_records.Entry] = []
         for entry in self._entries[start : start + count]:
@@ -100,7 +103,7 @@
             self._membership_indexes.append(entry.index)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from an index on."""
+        """Remove the entries at an index and above."""
         kept = index - self.base_index - 1
         del self._entries[kept:]
         del self._sequences[kept:]
@@ -109,7 +112,7 @@
         self.durable_index = min(self.durable_index, index - 1)
 
     def sync_up_to(self, sequence: int) -> None:
-        """Note that every write up to this one is on disk."""
+        """Advance ``durable_index``: every write up to this one is on disk."""
         if self.durable_index < self.base_index and self._base_sequence <= sequence:
             self.durable_index = self.base_index
         if self.durable_index < self.base_index:
@@ -120,7 +123,7 @@
             self.durable_index += 1
 
     def compact(self, index: int) -> None:
-        """Forget the entries up to an index, which are part of a snapshot."""
+        """Remove the entries up to an index, which a snapshot covers."""
         if index <= self.base_index:
             return
         membership = self.membership_at(index)
@@ -136,7 +139,7 @@
         self._base_membership = membership
 
     def restart_from(self, snapshot: _replica_records.SnapshotRecord, sequence: int) -> None:
-        """Drop everything and go on after a snapshot, which the given write makes durable."""
+        """Remove all entries and continue after a snapshot that the given write makes durable."""
         self._entries.clear()
         self._sequences.clear()
         self._membership_indexes.clear()
--- a/src/medlarfork/replica/_replica_membership.py
+++ b/src/medlarfork/replica/_replica_membership.py
@@ -1,17 +1,17 @@
-"""Work out the membership that a requested change leads to."""
+"""Compute the membership that results from a requested change."""
 
 from __future__ import annotations
 
 from medlarfork.replica import _replica_records, replica_types
 
 UNSEEN_DISK_ID = 0
-"""Stands for the disk of a replica that was added but has not been heard yet."""
+"""Represents the disk of a replica that was added but has not been heard from yet."""
 
 
 def changed(
     membership: _replica_records.Membership, event: replica_types.ChangeVoters
 ) -> _replica_records.Membership | None:
-    """Return the membership after the change, or None if it can't be made."""
+    """Return the membership after the change, or None if the change is invalid."""
     if bool(event.add) == bool(event.remove):
         return None
     if event.add:
--- a/src/medlarfork/replica/_replica_messages.py
+++ b/src/medlarfork/replica/_replica_messages.py
@@ -1,4 +1,7 @@
-"""Define the messages between replicas. Any of them may be lost, late, repeated or reordered."""
+"""Define the messages between replicas.
+
+Any of them may be lost, delayed, duplicated or reordered.
+"""
 
 from __future__ import annotations
 
@@ -12,9 +15,9 @@
     """Ask for a vote in ``term``.
 
     Attributes:
-        preliminary: Only ask whether a vote would be granted; nothing is recorded.
-        transferred: The leader asked the candidate to take over, so its lease does not count.
-        unled: Every voter said that it leads no term before this one, so there is no lease.
+        preliminary: Pre-vote: only ask whether a vote would be granted; nothing is recorded.
+        transferred: The leader transferred leadership to the candidate, so its lease is void.
+        unled: Every voter denied leading any earlier term, so no lease is in effect.
     """
 
     term: int
@@ -40,17 +43,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadQuestion:
-    """Ask a voter to say that it doesn't lead ``term`` and never will."""
+    """Ask a voter to confirm that it doesn't lead ``term`` and never will."""
 
     term: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadDenial:
-    """Say that ``voter`` has reached ``term``, does not lead it and never will.
+    """Confirm that ``voter`` has reached ``term``, does not lead it and never will.
 
     Attributes:
-        last_index: The end of its log.
+        last_index: The last index of its log.
         last_term: The term of its last entry.
     """
 
@@ -64,7 +67,7 @@
 class AppendRequest:
     """Send entries that follow ``previous_index``; without entries it is a heartbeat.
 
-    ``sent_at`` is the leader's monotonic time; the follower only returns it.
+    ``sent_at`` is the leader's monotonic time; the follower only echoes it.
     """
 
     term: int
@@ -77,12 +80,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Answer an ``AppendRequest`` or the last piece of a snapshot.
+    """Answer an ``AppendRequest`` or the last chunk of a snapshot.
 
     Attributes:
-        matched: Whether the follower held the entry before the new ones.
-        match_index: Up to where its synced log equals the leader's.
-        last_index: The end of its log, from where the leader may try again.
+        matched: Whether the follower's log holds the entry before the new ones.
+        match_index: Last index up to which its synced log equals the leader's.
+        last_index: If matched, the last index of its log; otherwise the index after which the
+            leader may retry.
     """
 
     term: int
@@ -95,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """Send a piece of an encoded snapshot; ``digest`` identifies the whole of it."""
+    """Send a chunk of an encoded snapshot; ``digest`` is that of the complete snapshot."""
 
     term: int
     index: int
@@ -108,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotChunkReply:
-    """Ask for the piece at ``next_offset``."""
+    """Ask for the chunk at ``next_offset``."""
 
     term: int
     follower: _replica_records.Member
@@ -119,21 +123,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimeoutNow:
-    """Ask the receiver to campaign at once: the leader of ``term`` hands over."""
+    """Ask the receiver to campaign at once: the leader of ``term`` transfers leadership to it."""
 
     term: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FoundRequest:
-    """Ask a replica whose disk is empty to join the log that the sender founds."""
+    """Ask a replica whose disk is empty to join the log that the sender bootstraps."""
 
     founder_disk_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FoundReply:
-    """Accept a ``FoundRequest``; the acceptance is on the sender's disk and can't be undone."""
+    """Accept a ``FoundRequest``; the acceptance is synced on the sender's disk and is final."""
 
     founder_disk_id: int
     disk_id: int
--- a/src/medlarfork/replica/_replica_options.py
+++ b/src/medlarfork/replica/_replica_options.py
@@ -1,4 +1,4 @@
-"""Define the options of a replica and check that they fit together."""
+"""Define the options of a replica and check that they are consistent."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaOptions:
-    """Hold a replica's timings and bounds; all replicas of a log use the same timings.
+    """Hold a replica's timings and limits; all replicas of a log use the same timings.
 
     Attributes:
-        election_timeout_min_s: The shortest silence after which a voter campaigns.
-        election_timeout_max_s: The longest such silence; each wait is drawn in between.
-        heartbeat_s: The period of the leader's heartbeats.
-        lease_s: How long a replica that heard from a leader grants no vote.
-        drift_margin_s: How much earlier than that a leader stops trusting its lease. It
+        election_timeout_min_s: Minimum time without a leader after which a voter campaigns.
+        election_timeout_max_s: Maximum of that time; each timeout is drawn uniformly in between.
+        heartbeat_s: Period of the leader's heartbeats.
+        lease_s: How long a replica grants no vote after it has heard from a leader.
+        drift_margin_s: How much earlier than that a leader stops relying on its lease. It
             covers clocks whose rates differ by up to ``drift_margin / lease``.
-        batch_entries: The most entries in one message.
-        batch_bytes: The most command bytes in one message, unless one command is larger.
-        in_flight_appends: Unanswered messages with entries to one follower.
-        in_flight_persists: Writes handed to the disk and not yet synced.
-        uncommitted_entries: Entries a leader takes beyond what is committed.
+        batch_entries: Maximum number of entries in one message.
+        batch_bytes: Maximum command bytes in one message, unless a single command is larger.
+        in_flight_appends: Maximum unanswered messages with entries to one follower.
+        in_flight_persists: Maximum writes handed to the disk and not yet synced.
+        uncommitted_entries: Maximum entries that a leader accepts beyond the commit index.
         snapshot_every_entries: Applied entries between two snapshots.
-        trailing_entries: Entries kept in memory before a snapshot, for followers close behind.
-        snapshot_chunk_bytes: The size of a piece of a snapshot on its way to a follower.
-        apply_batch_entries: The most entries applied for one event.
+        trailing_entries: Entries before a snapshot that are kept in memory, for followers that
+            are only slightly behind.
+        snapshot_chunk_bytes: Size of a chunk of a snapshot sent to a follower.
+        apply_batch_entries: Maximum entries applied per event.
     """
 
     election_timeout_min_s: float = 1.0
@@ -45,7 +46,7 @@
     apply_batch_entries: int = 1024
 
     def __post_init__(self) -> None:
-        """Refuse timings under which a lease would not be safe.
+        """Reject timings under which a lease would not be safe.
 
         Raises:
             errors.SettingsError: The timings contradict each other.
--- a/src/medlarfork/replica/_replica_records.py
+++ b/src/medlarfork/replica/_replica_records.py
@@ -1,4 +1,4 @@
-"""Define what a replica writes to its disk: identity, votes, log entries and snapshots."""
+"""Define the records that a replica writes to disk: identity, votes, entries and snapshots."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """Identify one replica on one disk; 0 stands for a disk that has not been seen yet."""
+    """Identify one replica on one disk; disk id 0 represents a disk that is not known yet."""
 
     replica_id: str
     disk_id: int
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Membership:
-    """Hold who votes and who follows without a vote, each with its disk."""
+    """Hold the voters and the learners (followers without a vote), each with its disk."""
 
     voters: tuple[Member, ...]
     learners: tuple[Member, ...] = ()
@@ -35,7 +35,7 @@
         return self.voters + self.learners
 
     def member(self, replica_id: str) -> Member | None:
-        """Return the member with this id, whichever disk it has."""
+        """Return the member with this id, on any disk."""
         for member in self.members:
             if member.replica_id == replica_id:
                 return member
@@ -49,7 +49,7 @@
         )
 
     def with_learner(self, member: Member) -> Membership:
-        """Return the membership with the replica as a learner on this disk, and in no other way."""
+        """Return the membership with the replica as a learner on this disk, and nowhere else."""
         rest = self.without(member.replica_id)
         return Membership(rest.voters, (*rest.learners, member))
 
@@ -67,7 +67,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """Say what a log entry holds."""
+    """The content type of a log entry."""
 
     COMMAND = "command"
     NOOP = "noop"
@@ -76,7 +76,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """Hold one log entry. On disk, an entry replaces every earlier one from its index on."""
+    """Hold one log entry.
+
+    In the journal, an entry replaces all earlier ones at its index and above.
+    """
 
     index: int
     term: int
@@ -87,14 +90,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DiskRecord:
-    """Identify the disk; the first record of every journal."""
+    """Identify the disk; always the first record of a journal."""
 
     disk_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FounderRecord:
-    """Bind this disk to the one founder that it will ever accept."""
+    """Bind this disk to the only founder that it will ever accept."""
 
     founder_disk_id: int
 
@@ -109,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotRecord:
-    """Hold the state machine's state as of an index, and what the log needs to go on from it."""
+    """Hold the state machine's state as of an index, and what the log needs to continue there."""
 
     index: int
     term: int
--- a/src/medlarfork/replica/_replica_restart_election.py
+++ b/src/medlarfork/replica/_replica_restart_election.py
@@ -1,12 +1,12 @@
-"""Elect a leader soon after a restart of all voters, without waiting for a lease that nobody holds.
-
-The load that this answers: all processes are started at once, and callers come back before there
-is a leader. A replica that has just started can't know what it promised before, so it grants no
-vote for the time of a lease. But each voter can say that it has reached a term, does not lead it
-and, since it is no candidate in it, never will. Once all have said so of one term, no leader of
-that term or an earlier one is left whose lease a vote in the next term could break, however late
-any of the messages came. One voter that says nothing, since it is down or knows a leader, is
-enough for nothing to happen, and the ordinary election follows.
+"""Elect a leader soon after a restart of all voters, without waiting for a lease to expire.
+
+This shortens the time without a leader when all processes are started at once and callers return
+before there is one. A replica that has just started can't know which lease it had acknowledged, so
+it grants no vote for the duration of a lease. But each voter can confirm (``LeadDenial``) that it
+has reached a term, does not lead it and, since it is no candidate in it, never will. Once all
+voters have confirmed this for one term, no leader of that term or an earlier one remains whose
+lease a vote in the next term could violate, however delayed any of the messages were. If a single
+voter does not confirm, because it is down or knows a leader, the regular election follows.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from medlarfork.replica import _replica_messages, _replica_records, _replica_state, replica_types
 
 QUESTION_PERIOD_S = 0.05
-"""Time between two rounds of questions, in seconds: links to processes that start at the same
-time come up within a tenth of a second of each other."""
+"""Time between two rounds of questions, in seconds. Links between processes that start at the same
+time are established within 0.1 s of each other."""
 
 QUESTION_DURATION_S = 0.6
-"""How long a replica asks after its start, in seconds: several times what links need to come up.
-One that starts later asks the earlier ones itself."""
+"""How long a replica sends questions after its start, in seconds: several times what links need to
+be established. A replica that starts later sends questions to the earlier ones itself."""
 
 CAMPAIGN_STAGGER_S = 0.03
-"""How much later each further voter campaigns, in seconds: two ways between data centres of a
-region and a sync on a slow disk, so that the first one is not met by others."""
+"""Delay between the campaigns of successive voters, in seconds. It covers a round trip between data
+centres of a region and a sync on a slow disk, so that the first campaign meets no competing one."""
 
 _DENYING_ROLES = (replica_types.Role.FOLLOWER, replica_types.Role.PRE_CANDIDATE)
 
 
 class RestartElection:
-    """Ask the other voters whether any leads, for a while after the start."""
+    """Ask the other voters for denials for a limited time after the start."""
 
     def __init__(self, state: _replica_state.ReplicaState) -> None:
-        """Prepare; nothing is asked before ``start``."""
+        """Prepare; no question is sent before ``start``."""
         self._state = state
         self._questions_end = -math.inf
         self._question_due = math.inf
@@ -44,22 +44,22 @@
 
     @property
     def due(self) -> float:
-        """Return when ``on_due`` has something to do."""
+        """Return when ``on_due`` must be called, infinity if never."""
         return min(self._question_due, self._campaign_due)
 
     def start(self) -> None:
-        """Begin to ask, if there are others who vote."""
+        """Start to send questions, if there are other voters."""
         state = self._state
         self._questions_end = state.now + QUESTION_DURATION_S
         self._question_due = state.now
 
     def stop(self) -> None:
-        """Ask no more: a leader is known, or the ordinary election has begun."""
+        """Send no more questions: a leader is known, or the regular election has started."""
         self._question_due = math.inf
         self._campaign_due = math.inf
 
     def on_due(self) -> bool:
-        """Ask what is due; return whether this replica is to campaign now."""
+        """Send questions if they are due; return whether this replica must campaign now."""
         state = self._state
         is_over = (
             state.now >= self._questions_end or state.leader_id or state.role not in _DENYING_ROLES
@@ -70,7 +70,7 @@
         if state.now >= self._question_due:
             self._send_questions()
         if self._asked_term != state.term:
-            # Left as it is, it would be due at a time that has passed, and wake this without end.
+            # A due time in the past would make the replica wake up in an endless loop.
             self._campaign_due = math.inf
         if state.now < self._campaign_due:
             return False
@@ -78,7 +78,7 @@
         return True
 
     def on_question(self, sender: str, question: _replica_messages.LeadQuestion) -> None:
-        """Answer that this replica leads nothing, if that is so and it knows of no leader."""
+        """Confirm that this replica does not lead the term, if it doesn't and knows no leader."""
         state = self._state
         if state.leader_id or state.role not in _DENYING_ROLES or question.term != state.term:
             return
@@ -88,7 +88,7 @@
         state.send(sender, denial)
 
     def on_denial(self, denial: _replica_messages.LeadDenial) -> None:
-        """Count an answer; once all have answered, set when to campaign."""
+        """Record a denial; once all other voters sent one, schedule the campaign."""
         state = self._state
         if self._asked_term != state.term or denial.term != state.term:
             return
@@ -113,7 +113,7 @@
                 state.send(voter.replica_id, question)
 
     def _schedule_campaign(self, others: list[_replica_records.Member]) -> None:
-        """Let those with the longest log campaign, one after the other."""
+        """Schedule a campaign if no log is longer; equal ones campaign in turn, in id order."""
         own = (self._state.log.last_term, self._state.log.last_index)
         campaigns_before = 0
         for voter in others:
--- a/src/medlarfork/replica/_replica_snapshot.py
+++ b/src/medlarfork/replica/_replica_snapshot.py
@@ -1,4 +1,4 @@
-"""Cut an encoded snapshot into pieces and put it together again."""
+"""Split an encoded snapshot into chunks and reassemble it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from medlarfork.replica import _replica_messages
 
 DIGEST_BYTES = 16
-"""Size of the digest that tells snapshots apart and checks that a whole one arrived."""
+"""Size of the digest that identifies a snapshot and verifies that it arrived complete."""
 
 
 def digest_of(data: bytes) -> bytes:
@@ -16,13 +16,13 @@
 
 
 class SnapshotTransfer:
-    """Hand out the pieces of one snapshot, one at a time.
+    """Send the chunks of one snapshot, one at a time.
 
-    The transfer keeps its snapshot, so a newer one taken meanwhile does not start it anew.
+    The transfer keeps its own snapshot, so a newer one taken meanwhile does not restart it.
     """
 
     def __init__(self, index: int, data: bytes, *, chunk_bytes: int) -> None:
-        """Start at the first piece."""
+        """Start at the first chunk."""
         self.index = index
         self.digest = digest_of(data)
         self.sent_at = 0.0
@@ -32,11 +32,11 @@
 
     @property
     def has_started(self) -> bool:
-        """Say whether the follower holds a part of it, so that a newer one would not do."""
+        """Say whether the follower holds a part of it, which a newer snapshot would discard."""
         return self._offset > 0
 
     def chunk(self, term: int, now: float) -> _replica_messages.SnapshotChunk:
-        """Return the piece that the follower needs next."""
+        """Return the chunk that the follower needs next."""
         self.sent_at = now
         piece = self._data[self._offset : self._offset + self._chunk_bytes]
         return _replica_messages.SnapshotChunk(
@@ -44,9 +44,10 @@
         )
 
     def advance(self, reply: _replica_messages.SnapshotChunkReply) -> bool:
-        """Move to the piece that the follower asks for; False if there is nothing to send.
+        """Move to the chunk that the follower asks for; False if there is nothing to send.
 
-        The follower may go back, if it restarted, but an answer to an earlier piece may not.
+        The offset may go back if the follower has restarted; a reply to an earlier chunk is
+        ignored.
         """
         is_late = reply.sent_at < self.sent_at
         if reply.digest != self.digest or is_late or reply.next_offset == self._offset:
@@ -56,18 +57,18 @@
 
 
 class SnapshotReceiver:
-    """Put the pieces of one snapshot together; a piece of another one starts anew.
+    """Reassemble the chunks of one snapshot; a chunk of another one discards them.
 
-    Pieces of the same snapshot from another leader continue it, as the digest is the same.
+    Chunks of the same snapshot from another leader continue it, since the digest is the same.
     """
 
     def __init__(self) -> None:
-        """Start with no piece."""
+        """Start without chunks."""
         self._digest = b""
         self._data = bytearray()
 
     def accept(self, chunk: _replica_messages.SnapshotChunk) -> int:
-        """Take a piece if it is the next one and return the offset wanted next."""
+        """Append a chunk if it is the next one, and return the next offset needed."""
         if chunk.digest != self._digest:
             self._digest = chunk.digest
             self._data = bytearray()
@@ -76,7 +77,7 @@
         return len(self._data)
 
     def pop_complete(self, chunk: _replica_messages.SnapshotChunk) -> bytes | None:
-        """Return the snapshot once complete, and forget it."""
+        """Return the snapshot once it is complete and verified, and drop its data here."""
         if chunk.digest != self._digest or len(self._data) < chunk.total_bytes:
             return None
         data = bytes(self._data)
--- a/src/medlarfork/replica/_replica_state.py
+++ b/src/medlarfork/replica/_replica_state.py
@@ -1,4 +1,4 @@
-"""Hold what a replica knows whichever its role, and collect the actions of one event."""
+"""The state of a replica that all roles share, and the actions collected for one event."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 
 class ReplicaState:
-    """Hold term, vote, log and disk; the roles read and change it.
+    """Hold term, vote, log and disk; the roles read and change them.
 
     Attributes:
-        me: This replica on this disk.
-        founder_disk_id: The founder this disk accepted, 0 if none.
-        term_sequence: The disk write that holds the current term and vote.
-        leader_heard_at: When a leader was last heard, or the start: no vote for a lease from then on.
-        proposal_by_index: The proposals made here that are not applied yet.
+        me: This replica on its current disk.
+        founder_disk_id: Disk id of the founder that this disk accepted, 0 if none.
+        term_sequence: Sequence number of the disk write that holds the current term and vote.
+        leader_heard_at: When a leader was last heard from, or the start; no vote is granted for
+            ``lease_s`` from then on.
+        proposal_by_index: Proposals made on this replica that are not applied yet.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         random: random_module.Random,
         options: _replica_options.ReplicaOptions,
     ) -> None:
-        """Rebuild the state from what the disk held."""
+        """Rebuild the state from the contents of the disk."""
         self.options = options
         self.random = random
         self.now = 0.0
@@ -64,7 +65,7 @@
 
     @property
     def membership(self) -> _replica_records.Membership | None:
-        """Return the membership in force: the latest in the log, committed or not."""
+        """Return the membership in effect: the latest in the log, committed or not."""
         return self.log.membership
 
     @property
@@ -74,10 +75,11 @@
 
     @property
     def active_memberships(self) -> tuple[_replica_records.Membership, ...]:
-        """Return the memberships that this replica acts on: the latest, and the one before.
+        """Return the memberships that this replica acts on.
 
-        While the latest is not known to be committed, one that it leaves out still votes and may
-        lead: its log can be the only one that holds the change.
+        These are the latest one and, until that is known to be committed, the one before. A
+        replica that an uncommitted change removes must still vote and may lead, since its log can
+        be the only one that holds the change.
         """
         latest = self.log.membership
         if latest is None:
@@ -88,16 +90,16 @@
 
     @property
     def may_campaign(self) -> bool:
-        """Say whether it votes, or did until a change that may not have been committed."""
+        """Say whether this replica is a voter in one of the active memberships."""
         return any(self.me in membership.voters for membership in self.active_memberships)
 
     @property
     def withholds_votes(self) -> bool:
-        """Say whether a leader may still count on this replica not to vote."""
+        """Say whether a leader's lease may still depend on this replica granting no vote."""
         return self.now < self.leader_heard_at + self.options.lease_s
 
     def send(self, to: str, message: Any, *, after: int = 0) -> None:
-        """Send a message once the current term, and the given write, are synced."""
+        """Send a message once the current term and the write ``after`` are synced."""
         send = node.Send(to, message)
         needed = max(after, self.term_sequence)
         if needed <= self.disk.synced:
@@ -106,7 +108,7 @@
             self.disk.hold(send, needed)
 
     def enter_term(self, term: int, voted_for: _replica_records.Member | None) -> None:
-        """Move to a term, or vote in the current one."""
+        """Enter a later term, or record a vote in the current one."""
         if term > self.term:
             self.disk.drop_held()
         self.term = term
@@ -114,7 +116,7 @@
         self.term_sequence = self.disk.write(_replica_records.TermRecord(term, voted_for))
 
     def become(self, role: replica_types.Role, leader_id: str) -> None:
-        """Take a role and tell about it."""
+        """Switch to a role and report it."""
         self.role = role
         self.leader_id = leader_id
         change = replica_types.RoleChanged(role, self.term, leader_id)
@@ -125,25 +127,25 @@
         self.log.append(entry, self.disk.write(entry))
 
     def commit_up_to(self, index: int) -> None:
-        """Raise the commit index; what it covers is applied by ``apply``."""
+        """Raise the commit index; ``apply`` applies the entries that it covers."""
         self.commit_index = max(self.commit_index, index)
 
     def apply(self) -> None:
-        """Apply committed entries, a bounded number for one event."""
+        """Apply committed entries, a bounded number per event."""
         end = min(self.commit_index, self.applied_index + self.options.apply_batch_entries)
         while self.applied_index < end:
             self.applied_index += 1
             self._apply_entry(self.log.entry(self.applied_index))
 
     def refuse_open_proposals(self) -> None:
-        """Tell that the fate of the proposals made here is unknown from now on."""
+        """Report the proposals made here and not yet applied as refused with unknown outcome."""
         for proposal_id in self.proposal_by_index.values():
             refusal = replica_types.ProposalRefused(proposal_id, self.leader_id, uncertain=True)
             self.actions.append(refusal)
         self.proposal_by_index.clear()
 
     def save_snapshot(self, snapshot: _replica_records.SnapshotRecord, data: bytes) -> None:
-        """Keep a snapshot and replace what is on disk by it and the entries after it."""
+        """Keep a snapshot, and replace the journal by it and the entries after it."""
         self.snapshot = snapshot
         self.snapshot_bytes = data
         records = self._records_after(snapshot.index)
@@ -155,7 +157,7 @@
         data: bytes,
         kept: list[_replica_records.Entry],
     ) -> None:
-        """Go on from another replica's snapshot and the entries that follow it."""
+        """Continue from another replica's snapshot and the entries that follow it."""
         sequence = self.disk.written + 1
         self.log.restart_from(snapshot, sequence)
         for entry in kept:
@@ -165,7 +167,7 @@
         self.save_snapshot(snapshot, data)
 
     def _records_after(self, index: int) -> list[Any]:
-        """Return every record that a journal needs beside a snapshot as of an index."""
+        """Return every record that a journal needs besides a snapshot as of an index."""
         records: list[Any] = [_replica_records.DiskRecord(self.me.disk_id)]
         if self.founder_disk_id:
             records.append(_replica_records.FounderRecord(self.founder_disk_id))
@@ -185,7 +187,7 @@
             )
 
     def _replay(self, records: tuple[bytes, ...]) -> int:
-        """Read the journal's records and return the disk's identity, 0 if there is none."""
+        """Replay the journal's records and return the disk's identity, 0 if there is none."""
         disk_id = 0
         for data in records:
             match _replica_records.RECORD_CODEC.unpack(data):
--- a/src/medlarfork/replica/journal.py
+++ b/src/medlarfork/replica/journal.py
@@ -1,15 +1,15 @@
-"""Keep a replica's records on disk: one file that is appended to and synced.
+"""The journal of a replica on disk: one file that is appended to and synced.
 
-A snapshot is the first record of a new file, which replaces the old one by a rename; so snapshot
-and journal always fit together. Every frame is checked at start. A bad end of the file is cut off:
-a write was under way there that was never reported as synced. Anything else that is wrong is
-refused, since a replica that forgot what it promised must not vote.
+A snapshot is the first record of a new file, which replaces the old one by a rename, so snapshot
+and journal are always consistent. Every frame is verified at start. A torn tail is truncated: it
+comes from a write that was never reported as synced. Any other damage is an error, since a replica
+that lost its votes or acknowledged entries must not vote.
 
-Two cases look alike in the file and are treated alike: a last record that decays after its sync is
-cut off like a torn one, which is not safe; only the disk itself can prevent that.
+Two cases can't be distinguished in the file: a last record that is corrupted after its sync is
+truncated like a torn one, which is not safe; only the disk itself can prevent that.
 
-A full disk refuses a write without harm: what came of it is cut off again, and the same records can
-be written once there is room.
+A write that fails on a full disk does no harm: its partial data is truncated, and the same records
+can be written once there is space.
 
 The calls block; run them in a thread, one at a time.
 """
@@ -27,16 +27,16 @@
 from medlarfork.replica import _journal_format, replica_types
 
 JOURNAL_NAME = "journal"
-"""The file with the snapshot and the records after it."""
+"""Name of the file with the snapshot and the records after it."""
 
 NEW_JOURNAL_NAME = "journal.new"
-"""A file that is being written and will replace the journal."""
+"""Name of a file that is being written and will replace the journal."""
 
 _NO_ROOM = frozenset({errno.ENOSPC, errno.EDQUOT})
-"""Errors after which nothing is lost but the write that met them."""
+"""Errors of a full disk or quota: only the write that failed is lost, and can be retried."""
 
 LOCK_NAME = "lock"
-"""The file whose lock keeps a second process away."""
+"""Name of the file that is locked so that no second process uses the folder."""
 
 
 class Journal:
@@ -53,11 +53,11 @@
         self._synced_bytes = 0
 
     def start(self) -> replica_types.Restored:
-        """Lock the folder, creating it if need be, and read what it holds.
+        """Lock the folder, creating it if necessary, and read its contents.
 
         Raises:
             errors.JournalError: Another process uses the folder.
-            errors.DamagedJournalError: The journal is damaged elsewhere than at its torn tail.
+            errors.DamagedJournalError: The journal is damaged other than by a torn tail.
         """
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._take_lock()
@@ -86,9 +86,9 @@
         """Append records with a single sync; return once they are on disk.
 
         Raises:
-            errors.DiskFullError: There is no room; the same records may be written again later.
-            errors.JournalError: The write or the sync failed. What is on disk is unknown from
-                then on, so the journal takes no further write and the process must end.
+            errors.DiskFullError: The disk is full; the same records may be written again later.
+            errors.JournalError: The write or the sync failed. The state of the disk is unknown
+                from then on, so the journal accepts no further write and the process must exit.
         """
         file = self._writable()
         frames, checksum = _journal_format.encode_frames(
@@ -103,10 +103,11 @@
         self._synced_bytes += len(frames)
 
     def save_snapshot(self, snapshot: bytes, records: Iterable[bytes]) -> None:
-        """Replace everything by a snapshot and records; return once they are on disk.
+        """Replace the journal by a snapshot and records; return once they are on disk.
 
         Raises:
-            errors.JournalError: As ``append_and_sync``.
+            errors.DiskFullError: As for ``append_and_sync``.
+            errors.JournalError: As for ``append_and_sync``.
         """
         self._writable()
         try:
@@ -147,8 +148,8 @@
     def _writable(self) -> IO[bytes]:
         if self._file is None:
             raise errors.JournalError(
-                f"The journal in {self._folder} takes no writes.",
-                remedy="End the process and start it again.",
+                f"The journal in {self._folder} is not open for writing.",
+                remedy="Restart the process.",
             )
         return self._file
 
@@ -165,21 +166,21 @@
         self._lock = lock
 
     def _raise_if_full(self, error: OSError) -> None:
-        """Cut off what came of a write that found no room, and say so."""
+        """Raise DiskFullError for a write that failed on a full disk, after removing its data."""
         if error.errno not in _NO_ROOM or self._file is None:
             return
         try:
             (self._folder / NEW_JOURNAL_NAME).unlink(missing_ok=True)
             self._file.truncate(self._synced_bytes)
         except OSError:
-            return  # The write is then reported as failed, with its own error.
+            return  # The caller then reports the original error as a failed write.
         raise errors.DiskFullError(
             f"The disk of the data folder {self._folder} is full.",
-            remedy="Make room; the write is tried again.",
+            remedy="Free disk space; the write is retried.",
         ) from error
 
     def _raise_failed(self, error: OSError) -> NoReturn:
-        """Refuse all further writes: after a failed sync, a second one may falsely succeed."""
+        """Close the file and raise: after a failed sync, a second one may falsely succeed."""
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -204,7 +205,7 @@
 
 
 def _write_and_sync(file: IO[bytes], data: bytes) -> None:
-    """Write all of the data, which one call need not do, and sync it."""
+    """Write all of the data, which may take several calls, and sync it."""
     rest = memoryview(data)
     while rest:
         rest = rest[file.write(rest) :]
--- a/src/medlarfork/replica/replica.py
+++ b/src/medlarfork/replica/replica.py
@@ -1,33 +1,34 @@
-"""Run one replica of a replicated log: a pure part, driven by events and the time.
+"""One replica of a replicated log. Pure: no I/O, no clock; driven by events.
 
-Agreement is Raft with a preliminary vote, a leader's lease, pipelined appends, snapshots and
-changes of one voter at a time. Terms, votes and entries are synced before they are spoken of.
+Consensus is Raft with pre-vote, leader leases, pipelined appends, snapshots and membership changes
+of one voter at a time. Terms, votes and entries are synced before any message states them.
 
 **A voter is a replica on one disk.** A replica draws a random disk id when its data folder is
-empty, and memberships in the log name both. A replica that comes back on another disk is therefore
-another member: its votes and acknowledgements count for nothing, and it answers no vote request
-before its own log lists it. The leader that hears from it takes the lost disk out of the voters
-and adds the new one as a learner, in one committed change; once the learner has caught up, a
-second one makes it a voter. Consecutive memberships differ by one voter, so their majorities
-overlap. Say A lost its disk after A and B had committed an entry that C lacks: C then needs the
-vote of B, who refuses a shorter log, and B can't change the membership before C holds the entry
-too. Until the return is complete, all other voters of a log of three are needed for a majority.
-
-**Founding.** Nothing has to be set for the first start; see ``_replica_bootstrap``. All initial
-voters must be up for it, and if the founder's disk is lost within that moment, all folders have
-to be emptied. A setting for the first start would be simpler, but left in place it would let
-replicas that lost their disks found a second log beside the first.
-
-**Time.** The lease needs clocks that go on while the process is stopped and whose rates differ by
-less than the drift margin covers. Where whole machines may be suspended, pass a clock that counts
-the time of suspension. A clock that goes backwards ends leadership and starts every wait anew.
-
-**Order.** Writes must reach the disk in the order of their actions, and an event that an action
-leads to, such as ``SnapshotTaken``, is handed in after the actions before it were performed.
+empty, and memberships in the log list both ids. A replica that returns on another disk is therefore
+another member: its votes and acknowledgements do not count, and it answers no vote request until
+its own log lists it. When it answers the leader, the leader removes the lost disk from the voters
+and adds the new one as a learner, in a single membership entry; once the learner has caught up,
+another entry makes it a voter. Consecutive memberships differ by one voter, so their majorities
+overlap. Example: A loses its disk after A and B have committed an entry that C lacks. C then needs
+the vote of B, which refuses candidates with a shorter log, and B can't change the membership before
+C holds the entry too. Until the new disk is a voter, a majority of a log of three needs both other
+voters.
+
+**Bootstrap.** The first start needs no setting; see ``_replica_bootstrap``. All initial voters must
+be up for it, and if the founder's disk is lost during the bootstrap, all data folders must be
+emptied. A setting for the first start would be simpler, but if left in place it would let replicas
+that lost their disks bootstrap a second log beside the first.
+
+**Time.** The lease needs clocks that advance while the process is stopped and whose rates differ by
+less than the drift margin covers. Where machines may be suspended, pass a clock that includes the
+time of suspension. A clock that goes backwards ends leadership and restarts all timeouts.
+
+**Order.** Writes must reach the disk in the order of their actions. An event that results from an
+action, such as ``SnapshotTaken``, must be passed in after all earlier actions were performed.
 ``Synced`` covers every earlier write too.
 
-**Randomness.** The generator must differ on every start of every replica; a repeated disk id
-would undo the above. So would a data folder that is copied or restored from a backup.
+**Randomness.** The generator must be seeded differently on every start of every replica: a repeated
+disk id would break these guarantees. So would a data folder copied or restored from a backup.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """Describe a replica to operators; ``voters`` is None until it knows the membership."""
+    """The status of a replica for operators; ``voters`` is None while membership is unknown."""
 
     role: replica_types.Role
     term: int
@@ -83,7 +84,7 @@
         random: random_module.Random,
         options: ReplicaOptions = ReplicaOptions(),  # noqa: B008 - it is immutable
     ) -> None:
-        """Rebuild the replica from its disk; ``initial_voters`` only matter for founding."""
+        """Rebuild the replica from its disk; ``initial_voters`` are only used to bootstrap."""
         self._state = _replica_state.ReplicaState(replica_id, restored, random, options)
         self._bootstrap = _replica_bootstrap.Bootstrap(self._state, initial_voters)
         self._follower = _replica_follower.Follower(self._state)
@@ -98,7 +99,7 @@
 
     @property
     def status(self) -> ReplicaStatus:
-        """Return what operators want to know."""
+        """Return the status for operators."""
         state = self._state
         membership = state.membership
         return ReplicaStatus(
@@ -113,7 +114,7 @@
         )
 
     def holds_lease(self, now: float) -> bool:
-        """Say whether this replica alone leads and has applied all that was ever accepted."""
+        """Say whether this replica is the only leader and has applied all earlier entries."""
         if self._leader is None or now < self._state.now:
             return False
         return self._leader.holds_lease(now)
@@ -211,7 +212,7 @@
                 self._bootstrap.on_reply(sender, message)
 
     def _is_current(self, term: int) -> bool:
-        """Move on to a later term; say whether a reply of this term still matters."""
+        """Enter a later term if the message has one; otherwise True: the message may count."""
         if term > self._state.term:
             self._enter_term(term)
             self._become_follower("")
@@ -229,9 +230,10 @@
             self._reset_election_timer()
 
     def _on_lead_question(self, sender: str, question: _replica_messages.LeadQuestion) -> None:
-        """Answer; one that knows no leader moves on to the term that is asked about.
+        """Answer a question; a replica that knows no leader first enters the question's term.
 
-        A leader that asks has been restarted, so its followers needn't wait for its silence.
+        A leader that sends a question has restarted, so its followers needn't wait for their
+        election timeout.
         """
         if sender == self._state.leader_id and question.term >= self._state.term:
             self._become_follower("")
@@ -245,7 +247,7 @@
         sender: str,
         message: _replica_messages.AppendRequest | _replica_messages.SnapshotChunk,
     ) -> bool:
-        """Follow the sender, or tell it that its term is over."""
+        """Follow the sender and return True, or reply with the current term if it is later."""
         state = self._state
         if message.term < state.term:
             reply = _replica_messages.AppendReply(
@@ -267,7 +269,7 @@
         self._follower.on_new_term()
 
     def _become_follower(self, leader_id: str) -> None:
-        """Stop leading or campaigning."""
+        """Become a follower; stop leading or campaigning."""
         state = self._state
         was_leading = self._leader is not None
         self._leader = None
@@ -303,7 +305,7 @@
             self._on_election_timeout()
 
     def _on_election_timeout(self) -> None:
-        """Campaign, or only note that there is no leader if this replica has no vote."""
+        """Start a pre-vote; a replica without a vote only resets the known leader."""
         state = self._state
         if state.may_campaign:
             self._reset_election_timer()
@@ -321,7 +323,7 @@
         self._follower.on_new_term()
 
     def _finish_event(self) -> None:
-        """Draw every conclusion from the event and hand out what the disk allows."""
+        """Count votes, replicate, apply, and emit the writes and the messages that may be sent."""
         state = self._state
         self._count_votes()
         if self._leader is not None:
@@ -342,7 +344,7 @@
             self._leader.on_due()
 
     def _schedule_wake(self) -> None:
-        """Ask for the next event by time unless an earlier one is on its way."""
+        """Request the next ``TimeDue`` unless one at least as early is pending."""
         state = self._state
         due = self._leader.due if self._leader is not None else self._election_due
         due = min(due, self._bootstrap.due, self._restart_election.due)
--- a/src/medlarfork/replica/replica_types.py
+++ b/src/medlarfork/replica/replica_types.py
@@ -1,8 +1,8 @@
 """Define the events, actions and messages of a replica of the replicated log.
 
 A replica (module ``replica``) is a pure node part (see ``node``). Besides the events and actions
-below it takes ``node.Started``, ``node.MessageReceived``, ``node.TimeDue``, ``node.Synced`` and
-returns ``node.Send``, ``node.Wake``, ``node.Persist``.
+below it handles ``node.Started``, ``node.MessageReceived``, ``node.TimeDue`` and ``node.Synced``,
+and returns ``node.Send``, ``node.Wake`` and ``node.Persist``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Role(enum.StrEnum):
-    """Say what a replica is at the moment."""
+    """The current Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Voters:
-    """Hold a log's membership: who votes, and who follows without a vote until caught up."""
+    """Hold a log's membership by id: the voters, and the learners that have no vote yet."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Propose:
-    """Event: append a command if this replica leads; ``proposal_id`` is the caller's own."""
+    """Event: append a command if this replica leads; the caller picks ``proposal_id``."""
 
     proposal_id: str
     command: bytes
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Event: hand leadership to the most caught-up voter, as before a planned stop."""
+    """Event: transfer leadership to the most up-to-date voter, as before a planned stop."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """Event: the state machine's state after ``index`` has been encoded; the log may compact."""
+    """Event: the state machine's state as of ``index`` is encoded; the log may be compacted."""
 
     index: int
     state: bytes
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Apply:
-    """Action: a committed command to apply, in index order, exactly once a start.
+    """Action: apply a committed command; in index order, exactly once per process start.
 
     ``proposal_id`` is set only on the replica where the command was proposed.
     """
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProposalRefused:
-    """Action: this replica does not lead; the proposal may still commit if ``uncertain``."""
+    """Action: the proposal was rejected; it may still be committed if ``uncertain``."""
 
     proposal_id: str
     leader_id: str
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """Action: replace the state machine's state by this one, which is as of ``index``."""
+    """Action: replace the state machine's state by this one as of ``index``."""
 
     index: int
     state: bytes
@@ -115,9 +115,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """Action: write a snapshot file and sync it, then start the journal anew with ``records``.
+    """Action: durably replace the journal by a snapshot followed by ``records``.
 
-    ``node.Synced(token)`` follows once both are durable.
+    ``node.Synced(token)`` follows once both are synced.
     """
 
     index: int
@@ -128,12 +128,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Restored:
-    """Hand a replica what its data folder held at start.
+    """The contents of a replica's data folder at start.
 
     Attributes:
-        records: Journal records in order, as they were persisted.
-        snapshot: The last saved snapshot, as given to ``SaveSnapshot``; None if there is none.
-        fresh: True if the folder was empty: the disk is new, replaced or lost.
+        records: Journal records in the order in which they were persisted.
+        snapshot: The last saved snapshot, as passed to ``SaveSnapshot``; None if there is none.
+        fresh: True if the folder was empty: the disk is new, or its data was lost.
     """
 
     records: tuple[bytes, ...] = ()
--- a/src/medlarfork/request.py
+++ b/src/medlarfork/request.py
@@ -1,4 +1,4 @@
-"""Describe one caller's request once it has been parsed, identified and classified."""
+"""A caller's request after parsing, authentication and classification."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Outcome(enum.StrEnum):
-    """Say what became of a request; every final answer carries one of these.
+    """Outcome of a request; every final answer states one.
 
-    ``NOT_RUN`` is said only if no byte left for an upstream, or the upstream itself refused
-    before executing.
+    ``NOT_RUN`` is used only if no byte was sent to an upstream, or if the upstream itself refused
+    the request before executing it.
     """
 
     COMPLETED = "completed"
@@ -22,27 +22,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """Hold what decisions need to know of a request; its body stays with the connection.
+    """Properties of a request that decisions depend on; its body stays with the connection.
 
     Attributes:
         request_id: Unique over connections, hosts and restarts.
         account: The client account's name.
         class_name: The request class it was assigned to.
         tier: Priority of that class; 1 is the highest.
-        service: The service that answers it.
+        service: The service that the request is routed to.
         labels: Account labels, caller's labels, call labels, and the derived keys ``account``,
             ``service``, ``model``, ``method``, ``stream``.
-        arrived_at: Monotonic time of arrival at the entry host, in seconds.
-        deadline_at: Monotonic time after which the answer is of no use, in seconds.
+        arrived_at: Monotonic arrival time at the entry host, in seconds.
+        deadline_at: Monotonic time of its deadline, in seconds.
         repeatable: False if it may run at most once.
-        preemptible: True if its stream may be paused and resumed.
-        key: Idempotency key, made up if the caller gave none (empty if repeatable).
-        key_given: Whether the caller gave the key.
+        preemptible: True if its stream may be preempted and resumed.
+        key: Idempotency key, generated if the caller sent none; empty if repeatable.
+        key_given: Whether the caller sent the key.
         model: Model name; empty for a plain service.
-        stream: Whether the caller asked for a stream.
-        prefix: Digest of the prompt's beginning, for prompt-cache affinity; may be empty.
-        max_tokens: Most tokens the caller allows; None if it named no bound.
-        body_sha256: Digest of the body, so that a reused key with another body is refused.
+        stream: Whether the caller requested a stream.
+        prefix: Digest of the prompt prefix, for prompt-cache affinity; may be empty.
+        max_tokens: Maximum number of tokens that the caller allows; None if unlimited.
+        body_sha256: Digest of the body, to reject a key that is reused with another body.
     """
 
     request_id: str
@@ -65,5 +65,5 @@
 
     @property
     def repeat_key(self) -> str:
-        """Return what the caller's repeats share, by the account and the body with its target."""
+        """Return the key that repeats of a request share, from the account, target and body."""
         return request_key.account_prefix(self.account) + self.body_sha256
--- a/src/medlarfork/routes/__init__.py
+++ b/src/medlarfork/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes by host and path: their configuration, its checks, and the look-up of a request."""
+"""Routing by host and path: configuration model, validation and lookup."""
--- a/src/medlarfork/routes/route_table.py
+++ b/src/medlarfork/routes/route_table.py
@@ -1,4 +1,4 @@
-"""Look up what a version of the routing says about a request."""
+"""Look up routes, services and client accounts in one version of the routing."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RouteTable:
-    """Index one version of the routing; it never changes afterwards."""
+    """Immutable index over one version of the routing."""
 
     def __init__(self, source: routing.Routing) -> None:
-        """Build the index; the routing has been checked."""
+        """Build the index from a routing that has passed ``routing_check``."""
         self.version = source.version
         self.service_by_name = {service.name: service for service in source.services}
         self.needs_keys = bool(source.accounts)
@@ -22,7 +22,7 @@
             route_by_prefix[route.path_prefix] = route
 
     def route(self, host: str, path: str) -> routing.Route | None:
-        """Return the route of the host with the longest prefix that begins the path."""
+        """Return the route of the host with the longest matching path prefix, if any."""
         route_by_prefix = self._route_by_prefix_by_host.get(host.partition(":")[0].lower())
         if route_by_prefix is None:
             return None
@@ -35,12 +35,17 @@
         return None
 
     def account(self, api_key: str) -> routing.Account | None:
-        """Return the client account that holds a key."""
+        """Return the client account that an API key belongs to, if any."""
         return self._account_by_key.get(api_key)
 
 
 def choose_target(route: routing.Route, draw: float) -> str:
-    """Return the service that a number drawn evenly from 0 to 1 falls to."""
+    """Return the service of the target selected by weight.
+
+    Args:
+        route: The route to choose a target of.
+        draw: Random number, uniformly distributed between 0 and 1.
+    """
     remainder = draw * sum(target.weight for target in route.targets)
     for target in route.targets:
         remainder -= target.weight
--- a/src/medlarfork/routes/routing.py
+++ b/src/medlarfork/routes/routing.py
@@ -1,4 +1,4 @@
-"""Model the configuration of a routed deployment: routes, services and client accounts."""
+"""Configuration model of a routed deployment: routes, services and client accounts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 
 
 class RouteKind(enum.StrEnum):
-    """Say what may be repeated of a route's requests, and how they are answered."""
+    """How requests of a route are answered, and whether they may be retried after they have run.
+
+    ``SAFE`` requests may be retried, ``UNSAFE`` ones may not. ``STREAMING`` ones are answered with
+    a stream of events and may be retried only if the route allows resuming.
+    """
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -16,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Send a share of a route's requests to a service; shares are relative to their sum."""
+    """A service and its share of a route's requests, as a weight relative to the sum of weights."""
 
     service: str
     weight: float = 1.0
@@ -24,24 +28,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Declare how requests of one host and path prefix are handled.
+    """How requests for one host and path prefix are handled.
 
     Attributes:
-        name: Names the route in logs and metrics.
+        name: Name of the route in logs and metrics.
         host: Value of the Host header, without a port.
-        path_prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_ms: Longest time to a final answer, in milliseconds.
-        target_ms: Time to the answer, or to the first event of a stream, that callers expect.
-        gap_ms: Longest pause between events of a stream that callers expect; 0 if not declared.
-        patience_ms: Time without an event after which callers leave a stream, also before the first
-            one; 0 if they wait until their deadline.
-        tier: Rank; 0 comes first.
-        targets: Services that requests are split over.
-        max_attempts: Upstreams that one request may be sent to.
-        is_public: Whether requests need no key.
-        has_prompt: Whether requests name the parts of their prompt, which upstreams cache.
-        may_resume: Whether a broken stream may go on at another upstream.
+        path_prefix: Path prefix; starts and ends with a slash.
+        kind: Whether requests may be retried, and how they are answered.
+        timeout_ms: Maximum time to the final answer, in milliseconds.
+        target_ms: Latency target: time to the answer, or to the first event of a stream.
+        gap_ms: Target for the inter-event gap of a stream; 0 if not declared.
+        patience_ms: Time without an event after which callers abandon a stream, also before the
+            first event; 0 if they wait until their deadline.
+        tier: Priority tier; 0 is the highest.
+        targets: Services that requests are distributed over.
+        max_attempts: Maximum number of upstreams that one request is sent to.
+        is_public: Whether requests are accepted without an API key.
+        has_prompt: Whether requests name their prompt prefix segments, which upstreams cache.
+        may_resume: Whether a broken stream may be resumed at another upstream.
     """
 
     name: str
@@ -61,20 +65,21 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Return whether a request that may have run can be sent once more."""
+        """Return whether a request that may already have run can be retried."""
         return self.kind is RouteKind.SAFE or self.may_resume
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """Describe the model engines of a service.
+    """Capacity and link properties of the model engines of a service.
 
     Attributes:
-        slots: Requests that one engine runs at once.
-        memory_tokens: Tokens that one engine keeps for running requests and cached parts.
-        event_tokens: Tokens in one event of a stream.
-        token_bytes: Size of one token in an engine's memory; 0 if not declared.
-        link_mbps: Rate of an engine's link to others, in megabits a second; 0 if not declared.
+        slots: Requests that one engine runs concurrently.
+        memory_tokens: Tokens that fit into the KV cache of one engine, for running requests and
+            cached prompt prefix segments.
+        event_tokens: Tokens per event of a stream.
+        token_bytes: Size of one token in the KV cache, in bytes; 0 if not declared.
+        link_mbps: Bandwidth between engines, in megabits per second; 0 if not declared.
     """
 
     slots: int
@@ -85,7 +90,7 @@
 
     @property
     def fetch_ms_per_token(self) -> float:
-        """Return how long one engine fetches a token from another; 0 if they can't."""
+        """Return the time to fetch one cached token from another engine; 0 if they can't."""
         if self.token_bytes <= 0 or self.link_mbps <= 0:
             return 0.0
         return self.token_bytes * 8.0 / (self.link_mbps * 1000.0)
@@ -93,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZonePrice:
-    """Say what a second of an engine costs in a data centre, against the others."""
+    """Relative price of engine time in a data centre, compared with the other data centres."""
 
     zone: str
     price: float
@@ -101,15 +106,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scaling:
-    """Say how many engines of a service may be ordered.
+    """Limits and prices for ordering engines of a service.
 
     Attributes:
-        least: Fewest engines in each data centre.
-        most: Most engines in each data centre, of both kinds together.
+        least: Minimum number of engines in each data centre.
+        most: Maximum number of engines in each data centre, on-demand and spot together.
         boot_s: Time from an order until a new engine serves, in seconds.
-        spot_price: Price of an engine that may be taken back, as a share of one that stays; 0 if
-            there are none.
-        zones: The data centres in which engines are to be had.
+        spot_price: Price of a spot engine, which the provider may reclaim, as a share of the
+            on-demand price; 0 if there are no spot engines.
+        zones: The data centres in which engines are available.
     """
 
     least: int
@@ -120,20 +125,20 @@
 
     @property
     def has_spot(self) -> bool:
-        """Return whether there are cheaper engines that may be taken back."""
+        """Return whether spot engines are available at a lower price than on-demand ones."""
         return 0.0 < self.spot_price < 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """Declare a group of equal upstreams.
+    """A group of interchangeable upstreams.
 
     Attributes:
-        name: Names the service.
-        health_path: Answers health checks.
-        max_connections: Connections that one upstream takes from all its callers.
-        engine: What its model engines are like; None for plain services.
-        scaling: How many of them may be ordered; None if none may.
+        name: Unique name.
+        health_path: Path that answers health checks.
+        max_connections: Maximum number of connections one upstream accepts from all its callers.
+        engine: Properties of its model engines; None for plain services.
+        scaling: Limits for ordering engines; None if none may be ordered.
     """
 
     name: str
@@ -145,7 +150,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Account:
-    """Declare a client account; its tier, if set, goes before that of the route."""
+    """A client account; its tier, if set, overrides the tier of the route."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -154,7 +159,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Routing:
-    """Hold one version of a deployment's configuration; the operator chooses its number."""
+    """One version of a deployment's configuration; the operator chooses the version number."""
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/src/medlarfork/routes/routing_check.py
+++ b/src/medlarfork/routes/routing_check.py
@@ -1,4 +1,4 @@
-"""Check a version of the routing as a whole before it is accepted."""
+"""Validate a version of the routing before it is accepted."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def check(candidate: routing.Routing) -> tuple[str, ...]:
-    """Return what is wrong, one sentence each; nothing if the version can be put in force."""
+    """Return one sentence for each fault; empty if the version can be put in force."""
     return (
         *_service_faults(candidate),
         *_route_faults(candidate),
@@ -20,10 +20,10 @@
 
 
 def require_valid(candidate: routing.Routing) -> None:
-    """Refuse a version that can't be put in force.
+    """Reject a version that can't be put in force.
 
     Raises:
-        errors.ConfigurationError: It has faults; the message lists them.
+        errors.ConfigurationError: The version has faults; the message lists them.
     """
     faults = check(candidate)
     if faults:
@@ -52,7 +52,7 @@
         if route.timeout_ms <= 0:
             yield f"The timeout of route {route.name!r} is not above 0."
         if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
-            yield f"The path prefix of route {route.name!r} must begin and end with a slash."
+            yield f"The path prefix of route {route.name!r} must start and end with a slash."
 
 
 def _duplicate_routes(candidate: routing.Routing) -> Iterator[str]:
@@ -70,5 +70,5 @@
         for key in account.api_keys:
             owner = owner_by_key.setdefault(key, account.name)
             if owner != account.name:
-                # The key itself is a secret and is not repeated here.
+                # The key itself is a secret and must not appear in the message.
                 yield f"Accounts {owner!r} and {account.name!r} share a key."
--- a/src/medlarfork/routes/routing_format.py
+++ b/src/medlarfork/routes/routing_format.py
@@ -1,6 +1,6 @@
-"""Read a version of the routing from an operator's body: the product's own format.
+"""Decode a version of the routing from JSON, the native format of operators' requests.
 
-It stands apart from the other operations: entry hosts read the routing and nothing else.
+Separate from the other operations, because entry hosts decode only the routing.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 def decode(body: bytes) -> routing.Routing:
-    """Return a version of the routing.
+    """Decode a version of the routing.
 
     Raises:
-        errors.ConfigurationError: It can't be read in full.
+        errors.ConfigurationError: The body can't be decoded.
     """
     try:
         return msgspec.json.decode(body, type=routing.Routing)
@@ -24,7 +24,7 @@
 
 
 def decode_error(cause: Exception) -> errors.ConfigurationError:
-    """Return the error for a version of the routing that can't be read."""
+    """Return the error for a version of the routing that can't be decoded."""
     return errors.ConfigurationError(
-        f"The routing can't be read in full: {cause}.", remedy="Correct this and send it again."
+        f"The routing can't be decoded: {cause}.", remedy="Correct this and send it again."
     )
--- a/src/medlarfork/runner.py
+++ b/src/medlarfork/runner.py
@@ -1,4 +1,4 @@
-"""Run a node under curio: hand it events with the time, and perform what it returns."""
+"""Run a node under curio: pass it events with the time, and perform the actions it returns."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 class Runner:
     """Drive one node from the curio tasks of one thread.
 
-    Events are handled one at a time in the order in which they are posted, and actions are begun
+    Events are handled one at a time in the order in which they are posted, and actions are started
     in the order in which the node returned them. ``perform`` must not wait for anything that
-    rests on a later action; it may wake tasks and put to queues.
+    depends on a later action; it may wake tasks and put items into queues.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         perform: Callable[[Any], Awaitable[None]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Wire the node to ``perform``, which gets every action but ``node.Wake``."""
+        """Connect the node to ``perform``, which is called with every action but ``node.Wake``."""
         self._node = driven_node
         self._perform = perform
         self._clock = clock
@@ -51,7 +51,7 @@
             self._timer = None
 
     async def post(self, event: Any) -> None:
-        """Handle an event and perform the actions it leads to."""
+        """Handle an event and perform the resulting actions."""
         self._actions.extend(self._node.handle(event, self._clock()))
         while self._actions:
             action = self._actions.popleft()
@@ -73,7 +73,7 @@
                 await self.post(node.TimeDue())
 
     async def _sleep(self) -> None:
-        """Sleep until the earliest wake, or until an earlier one is asked for."""
+        """Sleep until the earliest wake time, or until an earlier one is requested."""
         self._earlier_wake.clear()
         self._sleeping_until = self._wakes[0] if self._wakes else math.inf
         if not self._wakes:
--- a/src/medlarfork/settings/__init__.py
+++ b/src/medlarfork/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files of the programs: reading them and reporting every mistake in them."""
+"""Settings files of the programs: parsing, type conversion and reporting of all mistakes."""
--- a/src/medlarfork/settings/_settings_flag.py
+++ b/src/medlarfork/settings/_settings_flag.py
@@ -1,6 +1,6 @@
-"""Read the settings file that a program's command line names.
+"""Read the settings file named by ``--settings`` on a program's command line.
 
-Each program keeps its flags to itself, so that several programs can be imported into one process.
+Flags are not registered globally, so that several programs can be imported into one process.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """Return the settings of a program that was started with ``--settings=FILE``.
 
     Raises:
-        errors.SettingsError: The command line or the file is wrong.
+        errors.SettingsError: The command line or the file has mistakes.
     """
     values = flags.FlagValues()
     flags.DEFINE_string("settings", "", "TOML file with the settings.", flag_values=values)
--- a/src/medlarfork/settings/_toml_convert.py
+++ b/src/medlarfork/settings/_toml_convert.py
@@ -1,4 +1,4 @@
-"""Convert parsed TOML to data classes and collect every fault instead of stopping at the first."""
+"""Convert parsed TOML to data classes, collecting all faults instead of stopping at the first."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Say what is wrong with the value at a path and what to do about it."""
+    """A problem with the value at a path, and its remedy."""
 
     path: _toml_lines.Path
     problem: str
@@ -28,7 +28,7 @@
 
 
 class _ConversionFailedError(Exception):
-    """Signal that a value can't be built; its faults have been noted."""
+    """Signal that a value can't be converted; its faults have been recorded."""
 
 
 _TOML_TYPE_NAME = {
@@ -43,13 +43,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conversion(Generic[T]):
-    """Hold a data class as far as it could be built.
+    """Result of a conversion, which may be partial.
 
     Attributes:
-        value: The data class; None if it could not be built at all. A field whose value is wrong
-            holds its default.
-        faults: Everything that is wrong.
-        dropped: Paths of array elements that could not be built and were left out.
+        value: The data class; None if a required field is missing or invalid. An optional field
+            with an invalid value holds its default.
+        faults: All faults found.
+        dropped: Paths of array elements and table entries that were left out because they could
+            not be converted.
     """
 
     value: T | None
@@ -58,7 +59,7 @@
 
 
 def convert(table: dict[str, Any], kind: type[T]) -> Conversion[T]:
-    """Convert a table to a data class as far as its faults allow."""
+    """Convert a table to a data class, as far as possible."""
     converter = _Converter()
     try:
         value = converter.data_class(table, kind, ())
@@ -68,7 +69,7 @@
 
 
 class _Converter:
-    """Convert values by their declared type and gather faults."""
+    """Converts values to their declared types and collects faults."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
@@ -128,7 +129,7 @@
     def _convert_each(
         self, items: Iterable[tuple[Any, Any]], kind: Any, path: _toml_lines.Path
     ) -> dict[Any, Any]:
-        """Convert each item on its own, so that one that is wrong doesn't hide the next."""
+        """Convert each item independently, so that the faults of all of them are found."""
         built: dict[Any, Any] = {}
         for key, item in items:
             try:
@@ -160,7 +161,7 @@
         return number
 
     def _checked(self, value: Any, kind: type, path: _toml_lines.Path) -> Any:
-        # An exact comparison, since True would pass for a whole number.
+        # Compare types exactly: ``isinstance`` would accept True as an int.
         if type(value) is kind:
             return value
         found = _TOML_TYPE_NAME.get(type(value), f"a {type(value).__name__}")
@@ -220,7 +221,7 @@
 
 
 def _example(kind: Any) -> str:
-    """Return what a value of the type looks like in TOML."""
+    """Return a description of a value of the type in TOML."""
     origin = typing.get_origin(kind)
     if origin in (types.UnionType, typing.Union):
         return _example(typing.get_args(kind)[0])
--- a/src/medlarfork/settings/_toml_lines.py
+++ b/src/medlarfork/settings/_toml_lines.py
@@ -1,4 +1,4 @@
-"""Find the line of each key and table in TOML text, which ``tomllib`` does not tell."""
+"""Line numbers of keys and tables in TOML text, which ``tomllib`` does not provide."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class TomlLines:
-    """Map paths to line numbers; the text must already be known to be valid TOML."""
+    """Mapping of paths to line numbers, for text that is known to be valid TOML."""
 
     def __init__(self, text: str) -> None:
-        """Scan the text once."""
+        """Scan the text."""
         self._line_by_path: dict[Path, int] = {(): 1}
         self._count_by_array: collections.Counter[Path] = collections.Counter()
         table: Path = ()
@@ -39,7 +39,7 @@
                 self._record_line((*table, *_key(statement)), line)
 
     def line(self, path: Path) -> int:
-        """Return the line of the path, or of the nearest thing around it that has one."""
+        """Return the line of the path, or of its closest enclosing key or table."""
         while path not in self._line_by_path:
             path = path[:-1]
         return self._line_by_path[path]
@@ -59,7 +59,7 @@
         return path
 
     def _resolve(self, keys: tuple[str, ...]) -> Path:
-        """Return the path of a table, inside the last element of each array on the way."""
+        """Return the path of a table, within the last element of each array along the keys."""
         path: Path = ()
         for key in keys:
             path = (*path, key)
@@ -95,7 +95,7 @@
 
 
 def _key(text: str) -> tuple[str, ...]:
-    """Return the parts of the dotted key that the text begins with."""
+    """Return the parts of the dotted key at the start of the text."""
     parts: list[str] = []
     position = 0
     while match := _KEY_PART.match(text, position):
--- a/src/medlarfork/settings/_wording.py
+++ b/src/medlarfork/settings/_wording.py
@@ -1,11 +1,11 @@
-"""Join a problem and its remedy into one line for people to read."""
+"""Format a problem and its remedy as one line of text."""
 
 from __future__ import annotations
 
 
 def join(problem: str, remedy: str) -> str:
-    """Return ``problem; remedy``, where the remedy is a sentence that now follows on."""
+    """Return ``problem; remedy``, with the remedy's first letter in lower case."""
     second = remedy[1:2]
-    # Leave a word in capitals, such as HTTP, as it is.
+    # Keep acronyms such as HTTP in upper case.
     start = remedy[:1] if second.isupper() else remedy[:1].lower()
     return f"{problem}; {start}{remedy[1:]}"
--- a/src/medlarfork/settings/planner_settings.py
+++ b/src/medlarfork/settings/planner_settings.py
@@ -1,4 +1,4 @@
-"""Configure the order planner."""
+"""Settings of the order planner."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """Configure the planner; all times in seconds.
+    """Settings of the order planner; all times in seconds.
 
     Attributes:
         store: The weight store's limits.
-        max_order_s: Longest time from sending an order until it can't be carried out any more.
-        answer_timeout_s: How long to wait for an order's answer; under ``max_order_s``.
-        read_timeout_s: How long to wait for an engine's state.
-        poll_s: Time between reads while something is open, and before a fruitless repeat.
-        retry_s: Time after which an unanswered board command is proposed again.
-        drain_s: Longest wait for an engine out of service to finish its requests.
-        reads_per_second: Rate at which all engines are read after a change of holder or
-            declaration.
-        drift: Largest difference of a clock's rate from true time, as a share.
+        max_order_s: Maximum time from sending an order until it can't be executed any more.
+        answer_timeout_s: Timeout for an order's answer; less than ``max_order_s``.
+        read_timeout_s: Timeout for reading an engine's state.
+        poll_s: Interval between reads of an engine's state while an order is unfinished, and
+            initial backoff before an order that had no effect is repeated.
+        retry_s: Time after which an unanswered order-board command is proposed again.
+        drain_s: Maximum time to wait for an engine out of service to finish its requests.
+        reads_per_second: Rate at which the state of all engines is read after a change of the lease
+            holder or of a declaration.
+        drift: Maximum deviation of a clock's rate from true time, as a fraction.
     """
 
     store: weight_load_scheduler.WeightStoreSettings
@@ -36,5 +37,5 @@
 
     @property
     def order_expiry_s(self) -> float:
-        """Return what a clock must measure for ``max_order_s`` to have passed for sure."""
+        """Return the time on a drifting clock after which ``max_order_s`` has surely elapsed."""
         return self.max_order_s * (1 + self.drift)
--- a/src/medlarfork/settings/program_exit.py
+++ b/src/medlarfork/settings/program_exit.py
@@ -1,4 +1,4 @@
-"""End a program that can't start, with a message for its operator and a status for scripts."""
+"""Exit from a program that can't start, with an error message and an exit status."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from medlarfork import errors
 
 USAGE_STATUS = 2
-"""Exit status of a program that can't start from what it was given."""
+"""Exit status of a program whose command line, settings or configuration has mistakes."""
 
 START_FAILURE_STATUS = 1
 """Exit status of a program whose disk, keys or links can't be used."""
@@ -17,7 +17,7 @@
 
 @contextlib.contextmanager
 def exit_on_error() -> Iterator[None]:
-    """Print an error that an operator can mend and exit, without a traceback."""
+    """Print an error that an operator can fix and exit, without a traceback."""
     try:
         yield
     except (errors.SettingsError, errors.ConfigurationError) as error:
--- a/src/medlarfork/settings/settings.py
+++ b/src/medlarfork/settings/settings.py
@@ -1,6 +1,6 @@
-"""Read a program's settings from a TOML file into a frozen data class.
+"""Load a program's settings from a TOML file into a frozen data class.
 
-Every mistake in a file is reported at once, each as ``FILE:LINE: key: what is wrong; remedy``.
+All mistakes in a file are reported together, each as ``FILE:LINE: key: problem; remedy``.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mistake:
-    """Describe one mistake in a file.
+    """One mistake in a file.
 
     Attributes:
         line: Line in the file, counted from 1.
-        key: Dotted key; empty if the mistake belongs to the file as a whole.
+        key: Dotted key; empty if the mistake concerns the file, not a key.
         problem: What is wrong, without a full stop.
-        remedy: What to do about it, as a full sentence.
+        remedy: How to correct it, as a full sentence.
     """
 
     line: int
@@ -46,12 +46,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """Hold a TOML file that has been parsed.
+    """A parsed TOML file.
 
     Attributes:
-        file: Where it was read from.
+        file: Path of the file.
         table: Its content.
-        lines: Where each key stands.
+        lines: Line numbers of its keys.
     """
 
     file: pathlib.Path
@@ -59,7 +59,7 @@
     lines: _toml_lines.TomlLines
 
     def mistake(self, fault: _toml_convert.Fault) -> Mistake:
-        """Return a fault with its line."""
+        """Return a fault as a mistake with its line number."""
         line = self.lines.line(fault.path)
         return Mistake(line, dotted(fault.path), fault.problem, fault.remedy)
 
@@ -70,17 +70,17 @@
     minimum: float | None = None,
     maximum: float | None = None,
 ) -> Any:
-    """Return a data-class field whose number must lie in a range; both ends are allowed."""
+    """Return a data-class field for a number within a range; both bounds are inclusive."""
     metadata = {"min": minimum, "max": maximum}
     return dataclasses.field(default=default, metadata=metadata)
 
 
 def load(path: pathlib.Path, kind: type[T]) -> T:
-    """Read a TOML file into a data class.
+    """Load a TOML file into a data class.
 
     Fields may be str, int, float, bool, enums, ``pathlib.Path``, data classes, tuples of any of
-    these, ``dict[str, str]`` and each of them or None. A field's ``metadata`` may name its range
-    as ``min`` and ``max`` (see ``bounded``) and, as ``key``, another name for it in the file.
+    these, ``dict[str, str]``, or any of these or None. A field's ``metadata`` may contain its range
+    as ``min`` and ``max`` (see ``bounded``) and, as ``key``, the name of its key in the file.
 
     Raises:
         errors.SettingsError: The file can't be read or has mistakes; the message lists them all.
@@ -104,7 +104,7 @@
     except (OSError, UnicodeDecodeError) as error:
         mistake = Mistake(1, "", f"can't be read: {error}", "Name a readable TOML file in UTF-8.")
         raise mistakes_error(path, (mistake,)) from error
-    # Text-mode reading has already turned every line end into one character.
+    # Reading in text mode has already normalized line endings.
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -113,7 +113,7 @@
 
 
 def convert(document: Document, kind: type[T]) -> Conversion[T]:
-    """Convert a document to a data class as far as its faults allow."""
+    """Convert a document to a data class, as far as possible."""
     return _toml_convert.convert(document.table, kind)
 
 
@@ -133,7 +133,7 @@
     mistakes: Sequence[Mistake],
     kind: type[errors.MedlarError] = errors.SettingsError,
 ) -> errors.MedlarError:
-    """Return an error that lists the mistakes in the order of their lines."""
+    """Return an error that lists the mistakes, sorted by line."""
     ordered = sorted(mistakes, key=lambda mistake: mistake.line)
     listing = "\n".join(mistake.render(path) for mistake in ordered)
     count = "1 mistake" if len(mistakes) == 1 else f"{len(mistakes)} mistakes"
@@ -142,7 +142,7 @@
 
 def _syntax_mistake(error: tomllib.TOMLDecodeError, text: str) -> Mistake:
     found = _DECODE_LINE.search(str(error))
-    # The parser says "end of document" where the text stops short.
+    # The parser reports "end of document" instead of a line if the text is truncated.
     line = int(found[1]) if found else text.count("\n") + 1
     problem = _DECODE_LINE.sub("", str(error)).strip()
     return Mistake(line, "", f"not valid TOML: {problem}", "Correct the syntax of this line.")
--- a/src/medlarfork/standin/__init__.py
+++ b/src/medlarfork/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the system serves: engines and plain services."""
+"""Stand-ins for upstreams: model engines and plain services."""
--- a/src/medlarfork/standin/_standin_answer.py
+++ b/src/medlarfork/standin/_standin_answer.py
@@ -1,4 +1,4 @@
-"""Write a stand-in engine's answer to its caller, streamed or whole."""
+"""Writer of a stand-in engine's responses, streamed or not."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AnswerWriter:
-    """Write one answer; its methods are called in order by ``Batch.run``."""
+    """Writer of one response; ``Batch.run`` calls its methods in order."""
 
     def __init__(
         self,
@@ -24,15 +24,15 @@
         *,
         resumes: bool,
     ) -> None:
-        """Prepare to answer; ``resumes`` says whether the reply names its offset."""
+        """Create a writer; ``resumes`` tells whether the response states its offset."""
         self._exchange = exchange
         self._request = request
         self._job = job
         self._resumes = resumes
         self._id = f"chatcmpl-{secrets.token_hex(_ID_BYTES)}"
 
-    async def begin(self) -> None:
-        """Begin a streamed answer."""
+    async def start(self) -> None:
+        """Send the head of a streamed response."""
         if not self._request.stream:
             return
         headers = dict(_STREAM)
@@ -41,7 +41,7 @@
         await self._exchange.begin(200, headers)
 
     async def deliver(self, index: int) -> None:
-        """Send one token of a streamed answer."""
+        """Send one token of a streamed response."""
         if not self._request.stream:
             return
         role = "assistant" if index == 0 else None
@@ -49,7 +49,7 @@
         await self._send(self._chunk(_standin_openai.ChunkChoice(delta)), index + 1)
 
     async def finish(self) -> None:
-        """Send the end of a streamed answer, or the whole one."""
+        """Send the end of a streamed response, or a complete response that is not streamed."""
         if not self._request.stream:
             await _standin_host.respond(self._exchange, self._completion())
             return
--- a/src/medlarfork/standin/_standin_batch.py
+++ b/src/medlarfork/standin/_standin_batch.py
@@ -1,4 +1,4 @@
-"""Compute answers in a continuously batching stand-in engine."""
+"""Continuous batching of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from medlarfork.standin import _standin_cache, _standin_faults, _standin_slots, _standin_text
 
 _CACHE_HIT_FACTOR = 0.2
-"""Share of the first token's time that is left when the prompt's prefix is cached."""
+"""Factor of the time to the first token when the prompt prefix is cached."""
 
 _MAX_COUNTED_REQUESTS = 100_000
-"""Requests whose executions are remembered."""
+"""Maximum number of requests whose executions are counted; the oldest are evicted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BatchOptions:
-    """Set an engine's speed.
+    """Speed of an engine.
 
     Attributes:
-        slots: Requests computed at once.
-        first_token_s: Time to the first token of an unknown prompt, in seconds.
-        token_s: Time between tokens when one request runs, in seconds.
-        batch_slowdown: Growth of the time between tokens with each further request, as a share.
+        slots: Maximum number of running requests.
+        first_token_s: Time to the first token of an uncached prompt, in seconds.
+        token_s: Time between tokens when a single request runs, in seconds.
+        batch_slowdown: Relative growth of that time for each further running request.
     """
 
     slots: int
@@ -36,14 +36,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """Describe one answer to compute.
+    """Answer to compute for one request.
 
     Attributes:
-        request_id: The router's id, if any.
-        answer: What to answer.
-        offset: Tokens that the caller has already.
-        priority: Lower numbers go first.
-        prefix: Digest of the prompt's beginning.
+        request_id: Request id assigned by the router, if any.
+        answer: The answer.
+        offset: Number of tokens that the caller already has.
+        priority: Priority; a lower number goes first.
+        prefix: Digest of the prompt prefix.
     """
 
     request_id: str
@@ -54,13 +54,13 @@
 
 
 class Batch:
-    """Compute jobs, a token at a time for each.
+    """Batch of running jobs, which computes one token at a time for each.
 
     Attributes:
         slots: The engine's slots.
         tokens_computed: Tokens computed since the start.
-        tokens_cancelled: Those of them that belonged to answers that never ended.
-        executions: How often each request was begun, by its id.
+        tokens_cancelled: Computed tokens of answers that were not finished.
+        executions: Number of executions by request id.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         cache: _standin_cache.PrefixCache,
         switches: _standin_faults.FaultSwitches,
     ) -> None:
-        """Start idle."""
+        """Start without jobs."""
         self.slots = _standin_slots.Slots(options.slots)
         self.tokens_computed = 0
         self.tokens_cancelled = 0
@@ -82,25 +82,26 @@
         self,
         job: Job,
         *,
-        begin: Callable[[], Awaitable[None]],
+        start: Callable[[], Awaitable[None]],
         deliver: Callable[[int], Awaitable[None]],
         finish: Callable[[], Awaitable[None]],
     ) -> None:
         """Wait for a slot and compute one answer.
 
         Args:
-            begin: Called when the first token is about to be computed.
+            job: The answer to compute.
+            start: Called before the first token is computed.
             deliver: Called with the index of each token, in order.
             finish: Called after the last token.
 
         Raises:
-            errors.UpstreamError: A fault cut the answer.
+            errors.UpstreamError: A fault aborted the answer.
         """
         async with self.slots.hold(job.priority):
             self._count_execution(job.request_id)
             computed = 0
             try:
-                await begin()
+                await start()
                 await self._switches.work(self._first_token_s(job))
                 for index in range(job.offset, job.answer.count):
                     if index > job.offset:
@@ -126,7 +127,9 @@
         self._switches.count_token()
         limit = self._switches.faults.cut_after_tokens
         if limit and computed > limit:
-            raise errors.UpstreamError("The answer was cut.", remedy="Switch the fault off.")
+            raise errors.UpstreamError(
+                "The answer was aborted by a fault.", remedy="Switch the fault off."
+            )
 
     def _count_execution(self, request_id: str) -> None:
         if not request_id:
--- a/src/medlarfork/standin/_standin_cache.py
+++ b/src/medlarfork/standin/_standin_cache.py
@@ -1,4 +1,4 @@
-"""Keep a stand-in engine's prompt-prefix cache and report its changes late and with gaps."""
+"""Prompt prefix cache of a stand-in engine, whose changes are reported late and with gaps."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from medlarfork import upstream
 
 _LOSS_INTERVAL = 7
-"""Every so many events one is never reported."""
+"""One event in this many is lost, that is, never reported."""
 
 _MAX_PENDING = 1000
-"""Events that wait to be reported; the oldest are lost beyond this."""
+"""Maximum number of events that wait to be reported; the oldest beyond are lost."""
 
 
 class PrefixCache:
-    """Remember the prefixes used last."""
+    """LRU cache of prompt prefixes."""
 
     def __init__(self, *, limit: int, lag_s: float) -> None:
         """Start empty.
 
         Args:
-            limit: Prefixes kept.
-            lag_s: How late changes are reported, in seconds.
+            limit: Maximum number of prefixes.
+            lag_s: Delay with which changes are reported, in seconds.
         """
         self._limit = limit
         self._lag_s = lag_s
@@ -33,11 +33,11 @@
 
     @property
     def used(self) -> float:
-        """Return the share of the cache that is in use, 0 to 1."""
+        """Return the used share of the cache, from 0 to 1."""
         return len(self._prefixes) / self._limit if self._limit else 1.0
 
     def use(self, prefix: str, now: float) -> bool:
-        """Return whether a prefix is cached, and cache it."""
+        """Return whether a prefix was cached, and cache it."""
         hit = prefix in self._prefixes
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
@@ -49,7 +49,7 @@
         return hit
 
     def take_events(self, now: float) -> tuple[upstream.CacheEvent, ...]:
-        """Return the changes that are old enough to be reported, once each."""
+        """Return and remove the changes that are old enough to be reported."""
         due = []
         while self._pending and self._pending[0][0] <= now - self._lag_s:
             due.append(self._pending.popleft()[1])
--- a/src/medlarfork/standin/_standin_flags.py
+++ b/src/medlarfork/standin/_standin_flags.py
@@ -1,7 +1,7 @@
-"""Read a program's settings from command-line flags, a TOML file, or both.
+"""Settings of a program from command-line flags, a TOML file, or both.
 
-Every field of the settings' data class is a flag; its help is the field's line in the class's
-doc comment. Flags go before the file.
+Every field of the settings' data class is a flag, whose help text is the field's line in the
+class's doc comment. Flags take precedence over the file.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 def parse(kind: type[T], arguments: Sequence[str]) -> T:
-    """Return the settings that a command line asks for.
+    """Return the settings of a command line.
 
     Args:
         kind: Frozen data class; fields of str, int, float, bool, tuple[str, ...] or
             dict[str, str], each with a default.
-        arguments: The command line, the program's name first.
+        arguments: The command line, starting with the program name.
 
     Raises:
-        errors.SettingsError: A flag or the file is wrong.
+        errors.SettingsError: A flag or the file is invalid.
     """
     values = _define(kind)
     try:
@@ -53,7 +53,7 @@
 
 
 def main_arguments(kind: type[Any], program: str) -> list[str]:
-    """Return ``sys.argv``; print the help and exit if it asks for that."""
+    """Return ``sys.argv``, or print the help and exit if a help flag is set."""
     if any(argument in _HELP_FLAGS for argument in sys.argv[1:]):
         print(help_text(kind, program))
         raise SystemExit(0)
@@ -61,7 +61,7 @@
 
 
 def help_text(kind: type[Any], program: str) -> str:
-    """Return a line for each flag."""
+    """Return the help text, with a line for each flag."""
     lines = [f"{program} [--{SETTINGS_FLAG}=FILE] [FLAGS]"]
     values = _define(kind)
     for name, default in dataclasses.asdict(kind()).items():
@@ -95,24 +95,24 @@
 
 def _flag_values(kind: type[Any], values: flags.FlagValues) -> dict[str, Any]:
     hints = get_type_hints(kind)
-    given = {}
+    value_by_name = {}
     for field in dataclasses.fields(kind):
         value = values[field.name].value
         if value is not None:
-            given[field.name] = _convert(hints[field.name], field.name, value)
-            _check_range(field, given[field.name])
-    return given
+            value_by_name[field.name] = _convert(hints[field.name], field.name, value)
+            _check_range(field, value_by_name[field.name])
+    return value_by_name
 
 
 def _check_range(field: dataclasses.Field[Any], value: Any) -> None:
     minimum, maximum = field.metadata.get("min"), field.metadata.get("max")
     if minimum is not None and value < minimum:
         raise errors.SettingsError(
-            f"--{field.name} is {value}.", remedy=f"Give it at least {minimum}."
+            f"--{field.name} is {value}.", remedy=f"Set it to at least {minimum}."
         )
     if maximum is not None and value > maximum:
         raise errors.SettingsError(
-            f"--{field.name} is {value}.", remedy=f"Give it at most {maximum}."
+            f"--{field.name} is {value}.", remedy=f"Set it to at most {maximum}."
         )
 
 
--- a/src/medlarfork/standin/_standin_host.py
+++ b/src/medlarfork/standin/_standin_host.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in over HTTP, announce it, and stop it gracefully."""
+"""HTTP server, announcements and graceful stop of a stand-in."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 _JSON = {"Content-Type": "application/json"}
 _NOT_RUN = _JSON | {header_names.RETRY_AFTER: "1", header_names.OUTCOME: "not_run"}
 _IDLE_POLL_S = 0.02
-"""Period at which a stop looks whether work is left, in seconds."""
+"""Interval at which a graceful stop checks for work in progress, in seconds."""
 
 
 class StandinHost:
-    """Run the parts that all stand-ins share.
+    """Parts that all stand-ins share.
 
     Attributes:
-        stopping: Whether new work is refused.
-        busy: Requests for work in progress.
+        stopping: Whether a graceful stop has started, so that new work is refused.
+        busy: Number of requests in progress.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         port: int,
         drain_s: float,
     ) -> None:
-        """Wire the server; ``drain_s`` bounds how long a graceful stop may take, in seconds."""
+        """Create the server; ``drain_s`` is the timeout of a graceful stop, in seconds."""
         self.stopping = False
         self.busy = 0
         self._drain_s = drain_s
@@ -46,7 +46,7 @@
 
     @property
     def address(self) -> str:
-        """Return ``http://IP:PORT`` with the real port."""
+        """Return ``http://IP:PORT`` with the actual port."""
         return self._server.address
 
     @property
@@ -67,7 +67,7 @@
         await self._announcer.start()
 
     async def stop(self) -> None:
-        """Refuse new work, announce that it leaves, finish what runs, then close."""
+        """Refuse new work, announce the leave, finish requests in progress, then close."""
         self.stopping = True
         if self._announcer is not None:
             await self._announcer.leave()
@@ -78,7 +78,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self._announcer is not None:
             await self._announcer.close()
             self._announcer = None
@@ -86,7 +86,7 @@
 
     @contextlib.contextmanager
     def working(self) -> Any:
-        """Count a request as work in progress."""
+        """Count a request as in progress."""
         self.busy += 1
         try:
             yield
@@ -111,7 +111,7 @@
 async def run_until_disconnect(
     exchange: http_server.Exchange, work: Callable[[], Awaitable[None]]
 ) -> None:
-    """Run work until it ends, or cancel it when the caller goes away."""
+    """Run work until it ends, or cancel it when the caller disconnects."""
     async with curio.TaskGroup(wait=any) as group:
         worker = await group.spawn(_ignore_disconnect, work)
         await group.spawn(exchange.wait_caller_gone)
@@ -120,27 +120,27 @@
 
 
 async def _ignore_disconnect(work: Callable[[], Awaitable[None]]) -> None:
-    """Run work; a caller that leaves while it is written to is no failure of the task."""
+    """Run work; a caller that disconnects during a write does not fail the task."""
     with contextlib.suppress(errors.CallerDisconnectedError):
         await work()
 
 
 async def respond(exchange: http_server.Exchange, value: Any, status: int = 200) -> None:
-    """Answer with JSON."""
+    """Respond with JSON."""
     await exchange.respond(status, _JSON, msgspec.json.encode(value))
 
 
 async def respond_error(
     exchange: http_server.Exchange, status: int, problem: str, code: errors.Code
 ) -> None:
-    """Answer with an error."""
+    """Respond with an error."""
     await respond(exchange, _error_body(problem, code), status)
 
 
 async def respond_faults(
     exchange: http_server.Exchange, switches: _standin_faults.FaultSwitches, body: bytes
 ) -> None:
-    """Switch faults and answer with those that are on."""
+    """Change the active faults and respond with the new ones."""
     try:
         switches.switch(body)
     except errors.UpstreamError as error:
@@ -150,9 +150,9 @@
 
 
 async def refuse(exchange: http_server.Exchange) -> None:
-    """Refuse work that has not been run."""
+    """Refuse a request that has not run."""
     body = msgspec.json.encode(
-        _error_body("This upstream takes no new work.", errors.Code.DRAINING)
+        _error_body("This upstream accepts no new work.", errors.Code.DRAINING)
     )
     await exchange.respond(503, _NOT_RUN, body)
 
@@ -162,11 +162,11 @@
 
 
 def to_int(text: str, default: int) -> int:
-    """Return a header's number, or the default if it has none."""
+    """Return the number in a header value, or the default if it is not a number."""
     return int(text) if text.isascii() and text.isdigit() else default
 
 
 @functools.cache
 def started_at() -> int:
-    """Return when this process began to answer, in seconds since 1970."""
+    """Return the time of this process's first response, in seconds since 1970."""
     return int(time.time())
--- a/src/medlarfork/standin/_standin_lag.py
+++ b/src/medlarfork/standin/_standin_lag.py
@@ -1,4 +1,4 @@
-"""Report a stand-in's load with a lag, as real engines do."""
+"""Load of a stand-in, reported with a delay as by real engines."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from medlarfork import upstream
 
 _MAX_SAMPLES = 1000
-"""Most loads kept; under more requests than that within the lag, the lag is shorter."""
+"""Maximum number of samples; if more are taken within the delay, the delay becomes shorter."""
 
 
 class DelayedLoad:
-    """Keep samples of the load and report an old one."""
+    """Samples of the load, of which an old one is reported."""
 
     def __init__(self, lag_s: float) -> None:
         """Report loads that are at least ``lag_s`` seconds old."""
@@ -22,7 +22,7 @@
         )
 
     def report(self, load: upstream.Load, now: float) -> upstream.Load:
-        """Take the load of now and return the newest that is old enough."""
+        """Record the current load and return the newest sample that is old enough."""
         self._samples.append((now, load))
         while len(self._samples) > 1 and self._samples[1][0] <= now - self._lag_s:
             self._samples.popleft()
--- a/src/medlarfork/standin/_standin_openai.py
+++ b/src/medlarfork/standin/_standin_openai.py
@@ -1,4 +1,4 @@
-"""Define the parts of the OpenAI API that the stand-in engine speaks."""
+"""Messages of the OpenAI API, as far as the stand-in engine supports them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamOptions:
-    """Hold the options of a stream."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChatRequest:
-    """Ask for a chat completion; fields that are not listed are ignored."""
+    """Request for a chat completion; unlisted fields are ignored."""
 
     model: str
     messages: list[Any]
@@ -26,7 +26,7 @@
 
     @property
     def token_limit(self) -> int | None:
-        """Return the caller's bound on the answer's tokens."""
+        """Return the maximum number of tokens that the caller accepts, if any."""
         if self.max_completion_tokens is not None:
             return self.max_completion_tokens
         return self.max_tokens
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """Count tokens."""
+    """Token counts of a request."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """Hold a whole answer, or the first or next part of it."""
+    """Complete message, or a delta of it."""
 
     content: str | None = None
     role: str | None = None
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Hold the one choice of a whole answer."""
+    """The only choice of a completion."""
 
     message: Message
     finish_reason: str
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completion:
-    """Answer a chat completion as a whole."""
+    """Response to a chat completion that is not streamed."""
 
     id: str
     created: int
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkChoice:
-    """Hold the one choice of a part of a streamed answer."""
+    """The only choice of a chunk."""
 
     delta: Message
     finish_reason: str | None = None
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """Answer a part of a streamed chat completion."""
+    """Chunk of a streamed chat completion."""
 
     id: str
     created: int
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Model:
-    """Describe a model."""
+    """Model in the list of models."""
 
     id: str
     created: int = 0
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelList:
-    """List models."""
+    """List of models."""
 
     data: tuple[Model, ...]
     object: str = "list"
@@ -111,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """Describe an error."""
+    """Error details."""
 
     message: str
     type: str
@@ -120,6 +120,6 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorBody:
-    """Answer with an error."""
+    """Body of an error response."""
 
     error: Problem
--- a/src/medlarfork/standin/_standin_orders.py
+++ b/src/medlarfork/standin/_standin_orders.py
@@ -1,4 +1,4 @@
-"""Keep what a stand-in engine was ordered to be: its weights and its role."""
+"""Weights and role of a stand-in engine, as set by orders."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from medlarfork.orders import order_protocol, order_types
 
 _MAX_ORDERS = 1_000
-"""Orders whose ids and counts are kept."""
+"""Maximum number of orders whose ids and counts are kept."""
 
 
 class EngineOrders:
-    """Carry orders out; if fencing is checked, refuse outdated ones and repeat none.
+    """Executes orders; with fencing checks, it refuses outdated orders and repeats none.
 
-    An engine that checks no fences stands for one that remembers nothing of its orders.
+    Without fencing checks, it represents an engine that keeps no record of its orders.
 
     Attributes:
-        role: Role now.
+        role: Current role.
         highest_fence: Highest fencing number seen.
-        executing: Id of the order that was begun last, until it ends; empty if none.
-        executions: How often each order was begun, by its id.
+        executing: Id of the order that was started last, until it ends; empty if none.
+        executions: Number of executions by order id.
     """
 
     def __init__(self, *, models: tuple[str, ...], role: str, checks_fence: bool) -> None:
@@ -34,22 +34,22 @@
 
     @property
     def order_ids(self) -> tuple[str, ...]:
-        """Return the ids of the orders taken, oldest first, as far as they are remembered."""
+        """Return the recorded ids of accepted orders, oldest first."""
         return tuple(self.executions) if self._checks_fence else ()
 
     @property
     def models(self) -> tuple[str, ...]:
-        """Return the names of the models and adapters loaded now."""
+        """Return the names of the loaded models and adapters."""
         return tuple(self._version_by_name)
 
     @property
     def weights(self) -> tuple[order_types.LoadedWeights, ...]:
-        """Return the weights loaded now, with their versions."""
+        """Return the loaded weights with their versions."""
         loaded = self._version_by_name.items()
         return tuple(order_types.LoadedWeights(name, version) for name, version in loaded)
 
-    def begin(self, order: order_protocol.EngineOrder) -> bool:
-        """Take an order; return False if it was taken before and has nothing left to do.
+    def start(self, order: order_protocol.EngineOrder) -> bool:
+        """Start an order; return False for a duplicate, which is not executed again.
 
         Raises:
             errors.UpstreamError: Its fence is lower than one seen before.
@@ -64,10 +64,10 @@
         return True
 
     def finish(self, order: order_protocol.EngineOrder) -> None:
-        """Let an order take effect.
+        """Apply the effect of an order.
 
         Raises:
-            errors.UpstreamError: A newer holder has given an order since it was begun.
+            errors.UpstreamError: A newer lease holder has sent an order since it was started.
         """
         if self.executing == order.order_id:
             self.executing = ""
@@ -81,7 +81,7 @@
         if self._checks_fence and order.fence < self.highest_fence:
             raise errors.UpstreamError(
                 f"Fencing number {order.fence} is lower than {self.highest_fence}.",
-                remedy="Give no more orders under this lease; a newer holder has taken over.",
+                remedy="Send no more orders under this lease; a newer holder has taken over.",
                 code=errors.Code.STALE_FENCE,
             )
         self.highest_fence = max(self.highest_fence, order.fence)
--- a/src/medlarfork/standin/_standin_slots.py
+++ b/src/medlarfork/standin/_standin_slots.py
@@ -1,4 +1,4 @@
-"""Share an upstream's slots: the highest priority first, then in order of arrival."""
+"""Slots of an upstream with a priority queue."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class Slots:
-    """Hand out a fixed number of slots under curio."""
+    """Fixed number of slots, granted by priority and then in order of arrival.
+
+    Attributes:
+        running: Number of slots in use.
+    """
 
     def __init__(self, count: int) -> None:
         """Start with all slots free."""
@@ -22,7 +26,7 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many wait for a slot."""
+        """Return the number of tasks that wait for a slot."""
         return len(self._waiting)
 
     @contextlib.asynccontextmanager
@@ -52,7 +56,7 @@
             raise
 
     async def _release(self) -> None:
-        """Pass the slot on to the next in line, or free it."""
+        """Pass the slot to the next waiting task, or free it."""
         if self._waiting:
             _, _, acquired = heapq.heappop(self._waiting)
             await acquired.set()
--- a/src/medlarfork/standin/_standin_text.py
+++ b/src/medlarfork/standin/_standin_text.py
@@ -1,7 +1,7 @@
-"""Make up the stand-in engine's answers: the same prompt always leads to the same text.
+"""Deterministic answers of the stand-in engine: the same prompt always gives the same text.
 
-Any engine can therefore continue another's answer, and a load generator can check that an
-answer is whole and belongs to its request.
+Any engine can therefore resume another engine's answer, and a load generator can check that an
+answer is complete and belongs to its request.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 import msgspec
 
 _TOKEN_DIGITS = 6
-"""Hexadecimal digits of a token."""
+"""Number of hexadecimal digits in a token."""
 
 _MIN_TOKENS = 8
-"""Tokens of the shortest answer whose length is made up."""
+"""Minimum length of an answer whose length is derived from the prompt, in tokens."""
 
 _LENGTH_COUNT = 120
-"""How many lengths such an answer may have."""
+"""Number of different lengths of such answers."""
 
 _LENGTH = re.compile(r"\[tokens=(\d{1,6})\]")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Describe the answer to one prompt.
+    """Answer to one prompt.
 
     Attributes:
         digest: Digest of model and prompt.
-        count: Tokens of the whole answer.
-        finish_reason: ``stop``, or ``length`` if the caller's bound ended it.
+        count: Number of tokens.
+        finish_reason: ``stop``, or ``length`` if the caller's token limit ended it.
     """
 
     digest: str
@@ -40,18 +40,18 @@
     finish_reason: str
 
     def token(self, index: int) -> str:
-        """Return the text of one token, counted from 0."""
+        """Return the text of one token; the index starts at 0."""
         return " " + _hash(f"{self.digest}:{index}")[:_TOKEN_DIGITS]
 
     def text(self) -> str:
-        """Return the whole answer."""
+        """Return the complete text."""
         return "".join(self.token(index) for index in range(self.count))
 
 
 def answer(model: str, messages: Any, max_tokens: int | None) -> Answer:
     """Return the answer to a prompt.
 
-    A prompt with ``[tokens=N]`` asks for an answer of N tokens; else the length is made up.
+    A prompt with ``[tokens=N]`` requests N tokens; otherwise the length depends on the digest.
     """
     prompt = msgspec.json.encode((model, messages), order="deterministic").decode()
     digest = _hash(prompt)
@@ -63,7 +63,7 @@
 
 
 def prompt_tokens(messages: Any) -> int:
-    """Return how many tokens a prompt counts as."""
+    """Return the number of tokens that a prompt counts as."""
     return max(1, len(msgspec.json.encode(messages).split()))
 
 
--- a/src/medlarfork/standin/announcer.py
+++ b/src/medlarfork/standin/announcer.py
@@ -1,4 +1,4 @@
-"""Announce an upstream to entry hosts for as long as it runs, and that it leaves."""
+"""Periodic announcements of an upstream to entry hosts, and of its leave."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from medlarfork.http import http_client
 
 _TARGET_COUNT = 2
-"""Entry hosts that hear each announcement: a pool's owner and its standby."""
+"""Number of entry hosts that get each announcement: a pool's owner and its standby."""
 
 _POST_TIMEOUT_S = 1.0
-"""How long an entry host may take to reply, in seconds."""
+"""Timeout of an announcement, in seconds."""
 
 _INITIAL_PERIOD_S = 0.5
-"""Period until a reply names another, in seconds."""
+"""Announcement period until a reply sets another one, in seconds."""
 
 _MIN_PERIOD_S = 0.02
-"""Bounds of the period that a reply may name, in seconds."""
+"""Minimum and maximum of the period that a reply may set, in seconds."""
 
 _MAX_PERIOD_S = 30.0
 _LEAVE_ATTEMPTS = 5
-"""How often the leaving is announced if nobody takes note."""
+"""Maximum number of attempts to announce the leave."""
 
 _LEAVE_RETRY_S = 0.2
-"""Pause between two such tries, in seconds."""
+"""Delay between these attempts, in seconds."""
 
 _MAX_ADDRESSES = 64
-"""Most addresses kept of one reply."""
+"""Maximum number of addresses that are used from one reply."""
 
 
 class Announcer:
-    """Post announcements to the entry hosts that the last reply named.
+    """Sends announcements to the entry hosts listed in the last reply.
 
     Attributes:
-        failures: Posts that got no good reply.
+        failures: Announcements without a valid reply, counted per entry host.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         key: str,
         describe: Callable[[], upstream.Announcement],
     ) -> None:
-        """Prepare to announce.
+        """Create the announcer; ``start`` sends the first announcement.
 
         Args:
-            seeds: Base addresses of any entry hosts, tried when the named ones fail.
-            key: Key that entry hosts expect of announcements.
-            describe: Returns the announcement of now; its incarnation, sequence and state are
-                filled in here.
+            seeds: Base addresses of any entry hosts, used when the listed ones fail.
+            key: Key that entry hosts require for announcements.
+            describe: Returns the current announcement; its incarnation, sequence and state are
+                set by the announcer.
         """
         self.failures = 0
         self._seeds = tuple(dict.fromkeys(seeds))
@@ -71,17 +71,17 @@
 
     @property
     def incarnation(self) -> int:
-        """Return what grows with each start of the upstream."""
+        """Return the incarnation, which grows with each start of the upstream."""
         return self._incarnation
 
     async def start(self) -> None:
-        """Announce from now on."""
+        """Start to announce periodically."""
         await self._client.start()
         if self._seeds:
             self._task = await curio.spawn(self._repeat, daemon=True)
 
     async def close(self) -> None:
-        """Stop announcing without a word."""
+        """Stop announcing, without announcing a leave."""
         await self._stop()
         await self._client.close()
 
@@ -89,7 +89,7 @@
         """Announce to every known entry host that the upstream leaves.
 
         Returns:
-            Whether at least one of them took note.
+            Whether at least one of them accepted it, or none is known.
         """
         await self._stop()
         addresses = tuple(dict.fromkeys((*self._targets, *self._seeds)))
@@ -100,10 +100,10 @@
         return not addresses
 
     async def announce(self) -> bool:
-        """Announce once to the named entry hosts, or else to the first seed that answers.
+        """Announce once to the listed entry hosts, or else to the first seed that accepts it.
 
         Returns:
-            Whether anybody took note.
+            Whether any entry host accepted it.
         """
         replies = await self._post_all(self._targets[:_TARGET_COUNT], upstream.UpstreamState.READY)
         if not replies:
@@ -134,7 +134,7 @@
     async def _post_all(
         self, addresses: tuple[str, ...], state: upstream.UpstreamState
     ) -> list[upstream.AnnouncementReply]:
-        """Post one announcement to several entry hosts at once and return the good replies."""
+        """Post one announcement to several entry hosts concurrently; return the valid replies."""
         if not addresses:
             return []
         body = msgspec.json.encode(self._next_announcement(state))
--- a/src/medlarfork/standin/standin_engine.py
+++ b/src/medlarfork/standin/standin_engine.py
@@ -1,8 +1,8 @@
-"""Stand in for a model engine: a small fake that speaks the OpenAI API.
+"""Stand-in for a model engine: a small fake with the OpenAI API.
 
-It batches continuously, streams, cancels, resumes, honours priorities, caches prompt prefixes,
-reports its load with a lag and its cache with gaps, and takes orders. Nothing is ever computed
-but made-up words (see ``_standin_text``).
+It supports continuous batching, streaming, cancellation, resumption, priorities, a prompt prefix
+cache and orders; it reports its load with a delay and its cache with gaps. Its answers are derived
+from digests of the prompts (see ``_standin_text``).
 """
 
 from __future__ import annotations
@@ -36,34 +36,34 @@
 """Name of the program."""
 
 _DEFAULT_PRIORITY = 9
-"""Priority of a request that names none."""
+"""Priority of a request without a priority header."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """Hold the settings of a stand-in engine.
+    """Settings of a stand-in engine.
 
     Attributes:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 lets the system choose.
         name: Stable identity of the engine.
         entries: Base addresses of entry hosts to announce to first.
-        announce_key: Key that entry hosts expect of announcements.
+        announce_key: Key that entry hosts require for announcements.
         labels: Labels to announce.
         data_centre: Data centre to announce.
         models: Models loaded at the start.
         role: Role at the start.
-        slots: Requests computed at once.
-        queue_limit: Requests waiting for a slot; more are refused.
-        first_token_s: Time to the first token of an unknown prompt, in seconds.
-        token_s: Time between tokens when one request runs, in seconds.
-        batch_slowdown: Growth of that time with each further request, as a share.
-        cache_entries: Prompt prefixes kept.
-        cache_lag_s: How late changes of the cache are reported, in seconds.
-        load_lag_s: How old reported loads are, in seconds.
-        load_model_s: Least time that loading a model takes, in seconds.
+        slots: Maximum number of running requests.
+        queue_limit: Maximum number of requests waiting for a slot; more are refused.
+        first_token_s: Time to the first token of an uncached prompt, in seconds.
+        token_s: Time between tokens when a single request runs, in seconds.
+        batch_slowdown: Relative growth of that time for each further running request.
+        cache_entries: Maximum number of cached prompt prefixes.
+        cache_lag_s: Delay with which changes of the cache are reported, in seconds.
+        load_lag_s: Delay with which loads are reported, in seconds.
+        load_model_s: Minimum time that loading a model takes, in seconds.
         checks_fence: Whether orders with an old fencing number are refused.
-        drain_s: Longest time a graceful stop may take, in seconds.
+        drain_s: Timeout of a graceful stop, in seconds.
     """
 
     host: str = "127.0.0.1"
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """Show an engine's state to control, tests and operators.
+    """State of an engine, for control, tests and operators.
 
     The fields up to ``order_ids`` are those of ``order_types.EngineState``.
     """
@@ -112,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Chat:
-    """Hold a chat request that was accepted."""
+    """Accepted chat request."""
 
     exchange: http_server.Exchange
     request: _standin_openai.ChatRequest
@@ -121,7 +121,7 @@
 
 
 class StandinEngine:
-    """Serve the API of a model engine."""
+    """Stand-in for a model engine."""
 
     def __init__(
         self,
@@ -129,7 +129,7 @@
         *,
         switches: _standin_faults.FaultSwitches | None = None,
     ) -> None:
-        """Wire the engine; ``switches`` holds its faults."""
+        """Create the engine; ``switches`` injects its faults."""
         self._options = options
         self._switches = switches or _standin_faults.FaultSwitches()
         self._cache = _standin_cache.PrefixCache(
@@ -154,11 +154,11 @@
         )
 
     async def stop(self) -> None:
-        """Leave, finish what runs, and close."""
+        """Announce the leave, finish requests in progress, and close."""
         await self.host.stop()
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         await self.host.close()
 
     @property
@@ -181,7 +181,7 @@
         )
 
     def describe(self) -> upstream.Announcement:
-        """Return what to announce now."""
+        """Return the current announcement."""
         now = time.monotonic()
         load = upstream.Load(self._batch.slots.running, self._batch.slots.waiting, self._cache.used)
         return upstream.Announcement(
@@ -223,7 +223,7 @@
     async def _order(self, exchange: http_server.Exchange, body: bytes) -> None:
         try:
             order = order_protocol.decode(body)
-            if self._orders.begin(order):
+            if self._orders.start(order):
                 if not isinstance(order, order_protocol.ChangeRole):
                     await self._switches.work(max(self._options.load_model_s, order.draw_s))
                 self._orders.finish(order)
@@ -280,7 +280,7 @@
         )
         try:
             await self._batch.run(
-                chat.job, begin=writer.begin, deliver=writer.deliver, finish=writer.finish
+                chat.job, start=writer.start, deliver=writer.deliver, finish=writer.finish
             )
         except errors.UpstreamError:
             await chat.exchange.abort()
--- a/src/medlarfork/standin/standin_service.py
+++ b/src/medlarfork/standin/standin_service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service: echo each call and count how often it was executed."""
+"""Stand-in for a plain service, which echoes calls and counts their executions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 """Name of the program."""
 
 _MAX_COUNTED = 100_000
-"""Keys and request ids whose executions are remembered."""
+"""Maximum number of keys, and of request ids, whose executions are counted."""
 
 _CALL_PRIORITY = 0
 """Priority of every call: slots go to calls in order of arrival."""
@@ -25,19 +25,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """Hold the settings of a stand-in service.
+    """Settings of a stand-in service.
 
     Attributes:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 lets the system choose.
         name: Stable identity of the service's process.
         entries: Base addresses of entry hosts to announce to first.
-        announce_key: Key that entry hosts expect of announcements.
+        announce_key: Key that entry hosts require for announcements.
         labels: Labels to announce.
         data_centre: Data centre to announce.
-        slots: Calls executed at once.
+        slots: Maximum number of running calls.
         delay_s: Time that a call takes, in seconds.
-        drain_s: Longest time a graceful stop may take, in seconds.
+        drain_s: Timeout of a graceful stop, in seconds.
     """
 
     host: str = "127.0.0.1"
@@ -54,11 +54,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallReply:
-    """Echo a call.
+    """Echo of a call.
 
     Attributes:
-        count: How often the call was executed here, by its key or else by its request id;
-            1 if it has neither.
+        path: Path of the call.
+        method: HTTP method of the call.
+        count: Number of executions here, by key or else by request id; 1 without both.
+        key: Idempotency key of the call; empty if it has none.
     """
 
     path: str
@@ -69,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Executions:
-    """Report what was executed.
+    """Counts of executed calls.
 
     Attributes:
         total: Executions since the start.
@@ -83,7 +85,7 @@
 
 
 class StandinService:
-    """Serve any path as a call."""
+    """Stand-in for a plain service; it accepts every path as a call."""
 
     def __init__(
         self,
@@ -91,7 +93,7 @@
         *,
         switches: _standin_faults.FaultSwitches | None = None,
     ) -> None:
-        """Wire the service; ``switches`` holds its faults."""
+        """Create the service; ``switches`` injects its faults."""
         self._options = options
         self._switches = switches or _standin_faults.FaultSwitches()
         self._slots = _standin_slots.Slots(options.slots)
@@ -109,20 +111,20 @@
         )
 
     async def stop(self) -> None:
-        """Leave, finish what runs, and close."""
+        """Announce the leave, finish calls in progress, and close."""
         await self.host.stop()
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         await self.host.close()
 
     @property
     def executions(self) -> Executions:
-        """Return what was executed."""
+        """Return the counts of executed calls."""
         return Executions(self._total, dict(self._count_by_key), dict(self._count_by_request_id))
 
     def describe(self) -> upstream.Announcement:
-        """Return what to announce now."""
+        """Return the current announcement."""
         return upstream.Announcement(
             upstream_id=self._options.name,
             incarnation=0,
@@ -153,7 +155,7 @@
         head = exchange.head
         key = head.headers.get(header_names.KEY.lower(), "")
         async with self._slots.hold(_CALL_PRIORITY):
-            # Counted before the work: a call that is cut half-way has had its effect.
+            # Counted before the work, because an aborted call may have taken effect.
             count = self._execute(key, head.headers.get(header_names.REQUEST_ID.lower(), ""))
             await self._switches.work(self._options.delay_s)
         if self._switches.faults.cut_before_reply:
--- a/src/medlarfork/upstream.py
+++ b/src/medlarfork/upstream.py
@@ -1,4 +1,4 @@
-"""Describe upstreams: what engines and plain services announce of themselves."""
+"""Announcements of upstreams: messages that engines and plain services send to entry hosts."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import enum
 
 ANNOUNCEMENTS_PATH = "/v1/announcements"
-"""Where entry hosts take announcements."""
+"""HTTP path at which entry hosts receive announcements."""
 
 
 class UpstreamState(enum.StrEnum):
-    """Say whether an upstream accepts new work."""
+    """Whether an upstream accepts new work."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -18,13 +18,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Report an upstream's load; it lags behind reality.
+    """Load reported by an upstream; always somewhat out of date.
 
     Attributes:
-        running: Requests being executed.
-        waiting: Requests accepted and not yet started.
-        kv_used: Share of cache memory in use, 0 to 1.
-        age_s: How old the reading was when it was sent, in seconds.
+        running: Number of requests being executed.
+        waiting: Number of requests accepted and not yet started.
+        kv_used: Share of KV-cache memory in use, 0 to 1.
+        age_s: Age of the values when they were sent, in seconds.
     """
 
     running: int = 0
@@ -34,7 +34,7 @@
 
 
 class CacheChange(enum.StrEnum):
-    """Say what happened to a cached prompt prefix."""
+    """Change of a cached prompt prefix."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """Report a cached prompt prefix; events come late and with gaps in ``number``."""
+    """Change of one cached prompt prefix; events may be late or lost (gaps in ``number``)."""
 
     number: int
     change: CacheChange
@@ -51,22 +51,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """Announce an upstream to an entry host; repeated while it lives.
+    """Periodic message with which an upstream announces itself to an entry host.
 
     Attributes:
         upstream_id: Stable identity.
-        incarnation: Grows with each start of the upstream (for example start time in ms).
-        sequence: Grows with each announcement of one incarnation.
-        state: READY, or LEAVING, which no later announcement of the incarnation undoes.
-        address: ``http://IP:PORT`` where it serves.
-        labels: What services select it by.
-        data_centre: Where it stands.
-        slots: Concurrent requests it runs well; 0 to take the service's default.
-        models: Models and adapters loaded now.
+        incarnation: Increases with each start of the upstream (for example its start time in ms).
+        sequence: Increases with each announcement of one incarnation.
+        state: READY or LEAVING; LEAVING is final for the incarnation.
+        address: ``http://IP:PORT`` at which it serves requests.
+        labels: Labels that service selectors match.
+        data_centre: Data centre in which it runs.
+        slots: Concurrent requests that it can run efficiently; 0 for the service's default.
+        models: Currently loaded models and adapters.
         role: Role of an engine, such as ``mixed``, ``prefill`` or ``decode``.
-        checks_fence: Whether it refuses orders that carry an old fencing number.
+        checks_fence: Whether it refuses orders with an outdated fencing number.
         load: Its last load report.
-        cache_events: Changes to its prompt cache since the last announcement.
+        cache_events: Changes of its prompt cache since the previous announcement.
     """
 
     upstream_id: str
@@ -86,12 +86,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnnouncementReply:
-    """Answer an announcement.
+    """Reply to an announcement.
 
     Attributes:
-        announce_to: Base addresses of the entry hosts to announce to next, best first.
-        period_s: How long to wait before the next announcement.
-        lease_s: How long the upstream stays in use without one.
+        announce_to: Base addresses of the entry hosts to send announcements to, best first.
+        period_s: Interval until the next announcement.
+        lease_s: Time for which the upstream stays in use without a new announcement.
     """
 
     announce_to: tuple[str, ...]
