--- a/src/medlarfork/uuid7.py
+++ b/src/medlarfork/uuid7.py
@@ -1,14 +1,14 @@
-"""Make UUIDs of version 7, which carry the time they were made at (RFC 9562)."""
+"""Create and parse UUIDs of version 7, which contain their creation time (RFC 9562)."""
 
 from __future__ import annotations
 
 import re
 
 RANDOM_BYTES = 10
-"""How many random bytes one UUID takes."""
+"""Number of random bytes needed for one UUID."""
 
 _TIME_LIMIT_MS = 1 << 48
-"""First time that does not fit, in milliseconds since 1970."""
+"""First Unix time that does not fit into 48 bits, in milliseconds."""
 
 _VERSION = 0x7
 _VARIANT = 0b10
@@ -20,13 +20,13 @@
 
     Args:
         time_ms: Milliseconds since the Unix epoch.
-        random_bytes: ``RANDOM_BYTES`` bytes; all but six of their bits are used.
+        random_bytes: ``RANDOM_BYTES`` random bytes; all but six of their bits are used.
 
     Raises:
-        ValueError: The time does not fit 48 bits, or there are too few or too many bytes.
+        ValueError: The time does not fit into 48 bits, or the number of random bytes is wrong.
     """
     if not 0 <= time_ms < _TIME_LIMIT_MS or len(random_bytes) != RANDOM_BYTES:
-        raise ValueError(f"Pass a time of 48 bits and {RANDOM_BYTES} random bytes.")
+        raise ValueError(f"time_ms must fit into 48 bits, with {RANDOM_BYTES} random bytes.")
     random_bits = int.from_bytes(random_bytes, "big")
     high = random_bits >> 68
     low = random_bits & ((1 << 62) - 1)
@@ -36,7 +36,7 @@
 
 
 def time_ms(text: str) -> int | None:
-    """Return when a UUID of version 7 was made, in Unix milliseconds; None for other text."""
+    """Return the creation time of a UUID of version 7 in Unix milliseconds; None for other text."""
     lowered = text.lower()
     if not _FORM.fullmatch(lowered):
         return None
--- a/tests/entry_harness.py
+++ b/tests/entry_harness.py
@@ -1,4 +1,4 @@
-"""Entry nodes, a fake control and fake engines on an in-memory network, for the entry tests."""
+"""Test harness: entry nodes and a fake control on a simulated network with a virtual clock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def declared(**changes: Any) -> configuration.Configuration:
-    """Return a configuration with a model service, a plain one and three classes."""
+    """Return a configuration with a model service, a plain service and three classes."""
     base = configuration.Configuration(
         accounts=(configuration.Account("shop", (hashlib.sha256(KEY.encode()).hexdigest(),)),),
         classes=(
@@ -42,13 +42,13 @@
 
 
 def chat(request_id: str, *, model: str = "small", stream: bool = True, **more: Any) -> Any:
-    """Return the arrival of a chat completion."""
+    """Return the event of a chat completion request."""
     body = json.dumps({"model": model, "messages": [], "stream": stream, **more}).encode()
     return arrival(request_id, "POST", "/v1/chat/completions", body)
 
 
 def hold(request_id: str, key: str = "", body: bytes = b"{}") -> Any:
-    """Return the arrival of a call that must not run twice."""
+    """Return the event of a not-repeatable call."""
     headers = {"idempotency-key": key} if key else {}
     return arrival(request_id, "POST", "/services/desk/holds", body, headers)
 
@@ -56,7 +56,7 @@
 def arrival(
     request_id: str, method: str, path: str, body: bytes = b"", headers: Any = None
 ) -> entry_types.RequestArrived:
-    """Return the arrival of any request with a valid API key."""
+    """Return the event of a request with a valid API key."""
     headers = {"authorization": f"Bearer {KEY}", **(headers or {})}
     raw = entry_types.RawRequest(request_id, method, path, "", headers, body)
     return entry_types.RequestArrived(raw)
@@ -89,7 +89,7 @@
 
 
 def make_node(entry_id: str = "e1", seed: int = 1, **options: Any) -> entry.EntryNode:
-    """Return a node that knows three control replicas."""
+    """Return a node with three control replicas."""
     settings = entry_options.EntryNodeOptions(
         entry_id,
         options.pop("incarnation", 1),
@@ -102,7 +102,7 @@
 
 
 class FakeControl:
-    """Answer heartbeats and claims from one dictionary; stands in for the whole of control."""
+    """Fake of all of control: answers heartbeats and claims from memory."""
 
     def __init__(self, revised: heartbeat.RevisionedConfiguration) -> None:
         self.revised = revised
@@ -122,20 +122,20 @@
             case claim.ClaimRequest():
                 return (claim.ClaimReply(message.key, message.holder, *self._decide(message)),)
             case claim.ClaimFinish(key, holder, answer):
-                entry_ = self.claim_by_key.get(key)
-                if entry_ and entry_[0] == holder and not entry_[2]:
-                    entry_[1:] = [answer, True, entry_[3]]
+                claim_entry = self.claim_by_key.get(key)
+                if claim_entry and claim_entry[0] == holder and not claim_entry[2]:
+                    claim_entry[1:] = [answer, True, claim_entry[3]]
                 return (claim.ClaimRecorded(key, holder),)
             case claim.ClaimAbandon(key, holder):
-                entry_ = self.claim_by_key.get(key)
-                if entry_ and entry_[0] == holder and not entry_[2]:
+                claim_entry = self.claim_by_key.get(key)
+                if claim_entry and claim_entry[0] == holder and not claim_entry[2]:
                     del self.claim_by_key[key]
                 self.abandoned.add((key, holder))
                 return (claim.ClaimRecorded(key, holder),)
         return ()
 
     def refresh(self, now: float) -> None:
-        """Drop members whose lease has ended."""
+        """Remove members whose lease has expired, and update the view."""
         live = {
             item: pair
             for item, pair in self.heard_by_id.items()
@@ -158,25 +158,30 @@
         view = self.view if beat.view_version < self.view.version else None
         return heartbeat.HeartbeatReply(beat.number, 1, revision, whole=whole, view=view)
 
-    def _decide(self, asked: claim.ClaimRequest) -> tuple[Any, ...]:
-        entry_ = self.claim_by_key.get(asked.key)
-        if entry_ is None:
-            if (asked.key, asked.holder) in self.abandoned:
+    def _decide(self, claim_request: claim.ClaimRequest) -> tuple[Any, ...]:
+        claim_entry = self.claim_by_key.get(claim_request.key)
+        if claim_entry is None:
+            if (claim_request.key, claim_request.holder) in self.abandoned:
                 return (claim.Verdict.HOLDER_LOST,)
-            self.claim_by_key[asked.key] = [asked.holder, None, False, asked.body_sha256]
+            self.claim_by_key[claim_request.key] = [
+                claim_request.holder,
+                None,
+                False,
+                claim_request.body_sha256,
+            ]
             return (claim.Verdict.GRANTED,)
-        holder, answer, finished, digest = entry_
-        if digest != asked.body_sha256:
+        holder, answer, finished, digest = claim_entry
+        if digest != claim_request.body_sha256:
             return (claim.Verdict.KEY_REUSED,)
         if not finished:
             lost = holder.entry_id not in self.heard_by_id
             running = claim.Verdict.HOLDER_LOST if lost else claim.Verdict.RUNNING
-            return (claim.Verdict.GRANTED if holder == asked.holder else running,)
+            return (claim.Verdict.GRANTED if holder == claim_request.holder else running,)
         return (claim.Verdict.DONE, answer) if answer else (claim.Verdict.HOLDER_LOST,)
 
 
 class EntrySimulation:
-    """Run nodes, control and engines on one virtual clock, with a network that may misbehave."""
+    """Runs nodes and control on a virtual clock, over a network with loss, duplicates and delay."""
 
     def __init__(self, entry_ids: tuple[str, ...] = ("e1",), **options: Any) -> None:
         self.now = 100.0
@@ -190,7 +195,7 @@
         self.copies = 0.0
         self.delay_s = 0.001
         self.jitter = (0.5, 1.5)
-        self.chance = random.Random(7)
+        self.generator = random.Random(7)
         self._order = itertools.count()
         self._due: list[tuple[float, int, str, Any]] = []
         self._sequence = itertools.count(1)
@@ -199,7 +204,7 @@
         self.run(2.5)
 
     def post(self, entry_id: str, event: Any) -> list[Any]:
-        """Hand an event to a node and return the actions for outside."""
+        """Pass an event to a node and return its external actions."""
         actions = self.node_by_id[entry_id].handle(event, self.now)
         if self.records_events:
             self.seen.append((self.now, entry_id, event, actions))
@@ -216,7 +221,7 @@
         return seen
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock."""
         end = self.now + seconds
         while self._due and self._due[0][0] <= end:
             at, _, to, event = heapq.heappop(self._due)
@@ -225,22 +230,22 @@
         self.now = end
 
     def announce(self, entry_id: str, upstream_id: str, **more: Any) -> None:
-        """Let an upstream announce itself to an entry host."""
+        """Deliver an upstream's announcement to an entry host."""
         sequence = more.pop("sequence", None) or next(self._sequence)
-        said = announcement(upstream_id, sequence, **more)
-        self.post(entry_id, entry_types.AnnouncementReceived(f"call{sequence}", said))
+        announced = announcement(upstream_id, sequence, **more)
+        self.post(entry_id, entry_types.AnnouncementReceived(f"call{sequence}", announced))
 
     def pop_actions(self, kind: type) -> list[Any]:
-        """Take the actions of one kind that have been returned so far."""
+        """Remove and return the external actions of a type so far."""
         found = [action for _, action in self.out if isinstance(action, kind)]
         self.out = [pair for pair in self.out if not isinstance(pair[1], kind)]
         return found
 
     def _send(self, sender: str, to: str, message: Any) -> None:
-        if sender in self.cut or to in self.cut or self.chance.random() < self.loss:
+        if sender in self.cut or to in self.cut or self.generator.random() < self.loss:
             return
-        for _ in range(2 if self.chance.random() < self.copies else 1):
-            at = self.now + self.chance.uniform(*self.jitter) * self.delay_s
+        for _ in range(2 if self.generator.random() < self.copies else 1):
+            at = self.now + self.generator.uniform(*self.jitter) * self.delay_s
             self._push(at, to, node.MessageReceived(sender, message))
 
     def _push(self, at: float, to: str, event: Any) -> None:
--- a/tests/processes/test_entry_loss.py
+++ b/tests/processes/test_entry_loss.py
@@ -1,4 +1,4 @@
-"""Lose entry hosts while requests that must not run twice are on their way."""
+"""Tests that kill entry hosts while not-repeatable requests are in progress."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 OTHER = {"entry-1": "entry-2", "entry-2": "entry-1"}
 
 
-# One of the two owns the service's pool, so both its owner and another host are lost.
+# One of the two hosts owns the service's pool, so the loss of the owner and of another is tested.
 @pytest.mark.parametrize("lost", OTHER)
 def test_a_resent_call_never_runs_again_after_its_entry_host_is_killed(
     make_deployment, threads, new_key, lost
@@ -46,7 +46,7 @@
     resent = callers.hold(deployment.address(other), key)
 
     assert holding.result().outcome == "completed"
-    # Calls start in the order of their arrival, so whatever was to run has begun after this one.
+    # Calls start in order of arrival, so once this one completes, any resent call has started.
     assert callers.hold(deployment.address(other), new_key()).outcome == "completed"
     executions = deployment.executions("desk-1").get(key, 0)
     assert executions <= 1
--- a/tests/processes/test_graceful_stop.py
+++ b/tests/processes/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""Stop each role with SIGTERM while requests run: nothing in progress is cut."""
+"""Tests that SIGTERM stops each role without interrupting requests in progress."""
 
 import time
 
@@ -7,17 +7,17 @@
 from tests.processes import callers
 
 LEAVING_S = 3.0
-"""How long after its SIGTERM an engine may still be given new work."""
+"""Time after its SIGTERM within which an engine may still get new requests."""
 
 LIFETIME_S = 1.0
-"""How long callers may keep the answer of /v1/entries in these deployments."""
+"""Lifetime of the answer of /v1/entries in these deployments."""
 
 LONG = "a long story [tokens=350]"
 SHORT = "a short one [tokens=2]"
 OTHER = {"entry-1": "entry-2", "entry-2": "entry-1"}
 
 
-def _whole(stream):
+def _reads_to_end(stream):
     stream.read_all()
     return stream.done and stream.ended
 
@@ -31,7 +31,7 @@
         for address in deployment.entry_addresses * 3
     ]
     assert deployment.engine_state("engine-1")["running"]
-    reading = [threads.submit(_whole, stream) for stream in streams]
+    reading = [threads.submit(_reads_to_end, stream) for stream in streams]
 
     asked = []
     stopped_at = time.monotonic()
@@ -47,7 +47,7 @@
     assert {answer.outcome for _, answer in asked} == {"completed"}
     late = [answer for asked_at, answer in asked if asked_at > stopped_at + LEAVING_S]
     assert late
-    # The engine refuses new work, so an answer at the first attempt did not go there.
+    # The engine refuses new requests, so an answer of the first attempt came from another one.
     assert {deployment.attempts(answer.request_id) for answer in late} == {1}
 
 
@@ -72,7 +72,7 @@
 
 
 def _is_named(deployment, name):
-    """Return whether any entry host that answers still names this one to callers."""
+    """Return whether any entry host that answers still lists this one for callers."""
     for address in deployment.entry_addresses:
         answer = callers.try_ask(address, "GET", "/v1/entries")
         if answer is not None:
@@ -82,7 +82,7 @@
     return False
 
 
-# One of the two owns the service's pools, so both its owner and another host are stopped.
+# One of the two hosts owns the pools, so stopping the owner and stopping another is tested.
 @pytest.mark.parametrize("stopping", OTHER)
 def test_a_stopping_entry_host_is_unlisted_first_and_cancels_nothing(
     make_deployment, threads, new_key, stopping
@@ -92,7 +92,7 @@
     deployment.start_service("desk-1", delay_s=0.2)
     address, other = deployment.address(stopping), deployment.address(OTHER[stopping])
     streams = [callers.ChatStream(address, LONG).read_tokens(3) for _ in range(3)]
-    reading = [threads.submit(_whole, stream) for stream in streams]
+    reading = [threads.submit(_reads_to_end, stream) for stream in streams]
     assert _is_named(deployment, stopping)
 
     with callers.Watch(lambda: callers.hold(other, new_key())) as elsewhere:
@@ -126,7 +126,7 @@
     deployment = make_deployment()
     deployment.start_service("desk-1", delay_s=0.05)
     leader = deployment.wait_for_leader()
-    # This entry host has never talked to the other replicas, so only the leader can reach it.
+    # This entry host has no connection to the other replicas, so only the leader can reach it.
     deployment.processes.kill("entry-2")
     deployment.ask_first("entry-2", leader)
     deployment.restart("entry-2")
@@ -138,7 +138,7 @@
     with callers.Watch(lambda: callers.hold(deployment.address("entry-1"), new_key())) as watch:
         deployment.wait(lambda: len(watch.seen) >= 3, "some calls before the stop")
         renamed = {**configuration, "name": "while stopping"}
-        # An entry host that has just heard of the leader takes longest to give it up by itself.
+        # A host whose leader has just replied takes longest to switch to another replica by itself.
         deployment.wait(
             lambda: deployment.entry_status("entry-2")["proof_age_s"] < 0.1, "a fresh heartbeat"
         )
@@ -146,7 +146,7 @@
 
         stopped = deployment.processes.stop([leader])
 
-        # This entry host has had no reason to talk to control since.
+        # This entry host has sent nothing to control since.
         idle = callers.hold(deployment.address("entry-2"), new_key())
         assert stopped == {leader: 0}
         assert deployment.wait_for_leader() != leader
--- a/tests/processes/test_operators.py
+++ b/tests/processes/test_operators.py
@@ -1,4 +1,4 @@
-"""Let operators race and resend their changes."""
+"""Concurrent and resent changes of operators against a running deployment."""
 
 import concurrent.futures
 import threading
@@ -29,7 +29,7 @@
     (loser,) = [change_id for change_id, answer in answers.items() if answer.status == 409]
     assert answers[winner].json["revision"] == base + 1
     _assert_names_winner(answers[loser], winner, base + 1)
-    # A later change must not become the winner that a resent change is told of.
+    # A resent change must still name the original winner, not a later change.
     current, configuration = operator.configuration()
     later = operator.change(new_key(), current, {**configuration, "name": "later"})
     assert later.json["revision"] == base + 2
--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -1,6 +1,6 @@
-"""Simulate replicas with a lossy network, disks that forget what was not synced, and own clocks.
+"""Simulate replicas with a lossy network, disks that lose unsynced writes, and separate clocks.
 
-Every step checks what must always hold; a violation is an AssertionError.
+Every step checks the invariants; a violation raises AssertionError.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 class Disk:
-    """Keep synced and unsynced writes apart."""
+    """A simulated disk that separates synced and unsynced writes."""
 
     def __init__(self):
         self.snapshot = None
@@ -60,7 +60,7 @@
 
 
 class Host:
-    """Hold one replica's process, disk, clock and state machine."""
+    """One replica's process, disk, clock and state machine."""
 
     def __init__(self, replica_id):
         self.replica_id = replica_id
@@ -84,7 +84,7 @@
         return self.replica is not None and self.replica.status.role is replica_types.Role.LEADER
 
     def active_memberships(self):
-        """Return the latest membership its process acts on, and the one its disk would lead to."""
+        """Return the latest memberships in the disk's journal and in the running process."""
         on_disk = [getattr(record, "membership", None) for record in self.disk.decoded()]
         found = [membership for membership in on_disk if membership is not None][-1:]
         if self.replica is not None and self.state.membership is not None:
@@ -92,7 +92,7 @@
         return found
 
     def disk_ids(self):
-        """Return the identity on the disk, as a collection that is empty if there is none."""
+        """Return the disk ids recorded on the disk: one, or none if the disk is empty."""
         records = self.disk.decoded()
         return [record.disk_id for record in records if hasattr(record, "disk_id")]
 
@@ -137,7 +137,7 @@
         self.post(replica_id, node.Started())
 
     def crash(self, replica_id, *, kept_writes=0):
-        """Stop a process; of its unsynced writes the first few reach the disk all the same."""
+        """Stop a process; the first ``kept_writes`` unsynced writes still reach the disk."""
         host = self.host_by_id[replica_id]
         for _ in range(min(kept_writes, len(host.disk.pending))):
             host.disk.sync_one()
@@ -276,7 +276,7 @@
             self.post(host.replica_id, node.Synced(host.disk.sync_one()))
 
     def step(self, seconds=STEP_SECONDS):
-        """Let time pass; deliver what is under way and sync the disks."""
+        """Advance the time, deliver the packets in flight and sync the disks."""
         self.time += seconds
         self.check_leases()
         packets, self.packets = self.packets, []
@@ -300,7 +300,7 @@
         assert condition(), "the condition was not met in time"
 
     def leader(self):
-        """Return the one that leads the latest term, None if nobody does."""
+        """Return the leader of the latest term, None if there is no leader."""
         leaders = [host for host in self.host_by_id.values() if host.is_leader]
         return max(leaders, key=lambda host: host.replica.status.term, default=None)
 
@@ -320,7 +320,7 @@
         self.post(replica_id, event)
 
     def accept(self, proposal_id):
-        """Propose to the leader until it is accepted; leaders may step down meanwhile."""
+        """Propose to the leader, with retries, until accepted; leaders may step down meanwhile."""
         for attempt in range(20):
             attempt_id = f"{proposal_id}, attempt {attempt}" if attempt else proposal_id
             self.propose(self.wait_for_leader().replica_id, attempt_id, proposal_id.encode())
@@ -333,7 +333,7 @@
         return proposal_id in self.accepted_by_id or proposal_id in self.refused_by_id
 
     def is_voting(self, replica_id):
-        """Say whether a replica's present disk votes in the committed membership."""
+        """Say whether a replica on its current disk is a voter in the committed membership."""
         host = self.host_by_id[replica_id]
         membership = self.membership[1]
         if membership is None or host.replica is None:
--- a/tests/routed/test_route_table.py
+++ b/tests/routed/test_route_table.py
@@ -24,7 +24,7 @@
 
 
 @hypothesis.given(st.sets(_PATH.map(lambda path: path.rstrip("/") + "/"), max_size=6), _PATH)
-def test_the_look_up_equals_a_scan_of_all_routes(prefixes, path):
+def test_the_lookup_equals_a_scan_of_all_routes(prefixes, path):
     routes = [
         routing.Route(p, "h", p, routing.RouteKind.SAFE, 1.0, (routing.Target("s"),))
         for p in prefixes
@@ -34,7 +34,7 @@
     assert _table(*routes).route("h", path) is expected
 
 
-def test_keys_lead_to_accounts():
+def test_api_keys_identify_accounts():
     account = routing.Account("x", ("k1", "k2"))
     table = _table(accounts=(account,))
     assert table.needs_keys
--- a/tests/routed/test_routing_check.py
+++ b/tests/routed/test_routing_check.py
@@ -8,7 +8,7 @@
     return routing.Routing(1, routes, tuple(routing.Service(name) for name in services), accounts)
 
 
-def test_a_sound_routing_has_no_fault(make_route):
+def test_a_valid_routing_has_no_fault(make_route):
     routing_check.require_valid(_routing(make_route()))
 
 
@@ -23,7 +23,7 @@
         ({"path_prefix": "/p"}, "slash"),
     ],
 )
-def test_a_faulty_route_is_refused(make_route, changes, word):
+def test_a_faulty_route_is_rejected(make_route, changes, word):
     with pytest.raises(errors.ConfigurationError, match=word):
         routing_check.require_valid(_routing(make_route(**changes)))
 
@@ -41,6 +41,6 @@
     assert "secret-key" not in str(caught.value)
 
 
-def test_a_service_declared_twice_is_refused(make_route):
+def test_a_service_declared_twice_is_rejected(make_route):
     with pytest.raises(errors.ConfigurationError, match="2 times"):
         routing_check.require_valid(_routing(make_route(), services=("engines", "engines")))
--- a/tests/test_claim_settlements.py
+++ b/tests/test_claim_settlements.py
@@ -1,4 +1,4 @@
-"""Test that no claim stays running once its request has ended on a live entry host."""
+"""Tests that a claim never stays running once its request has ended on a live entry host."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def _post_hold(simulation, request_id):
-    """Post a call of the plain service that must not run twice, and return its dispatches."""
+    """Post a not-repeatable call to the plain service, and return its dispatches."""
     simulation.announce("e1", "d1", app="desk")
     simulation.post("e1", entry_harness.hold(request_id, "k1"))
     simulation.run(0.1)
@@ -26,7 +26,7 @@
 
 
 def _give_up_for(simulation, seconds):
-    """Let a request give up its claim while control is silent for a time."""
+    """Let a request fail for want of a claim while control is unreachable for ``seconds``."""
     simulation.cut |= _REPLICAS
     assert not _post_hold(simulation, "h1")
     simulation.run(seconds)
@@ -34,7 +34,7 @@
 
 
 def _grant_late(simulation):
-    """Let control commit an earlier copy of the claim request."""
+    """Let control grant a delayed duplicate of the claim request; return the reply's event."""
     (reply,) = simulation.control.handle("e1", _REQUEST, simulation.now)
     assert reply.verdict is claim.Verdict.GRANTED
     return node.MessageReceived("c1", reply)
@@ -69,7 +69,7 @@
     complete = entry_types.AttemptResult.COMPLETE
     simulation.post("e1", entry_types.AttemptEnded(dispatch.attempt_id, complete, status=201))
     simulation.run(1.0)
-    # As if control held the claim as running still.
+    # Simulates a control that still has the claim as running.
     simulation.control.claim_by_key[_KEY][2] = False
     simulation.post(
         "e1", node.MessageReceived("c1", claim.ClaimReply(_KEY, _HOLDER, claim.Verdict.GRANTED))
--- a/tests/test_configuration_check.py
+++ b/tests/test_configuration_check.py
@@ -1,4 +1,4 @@
-"""Test that each kind of mistake in a configuration is found, with its key and its remedy."""
+"""Each kind of mistake in a configuration is reported with its key and remedy."""
 
 import dataclasses
 
@@ -60,7 +60,7 @@
     return dataclasses.replace(VALID, **extended)
 
 
-def test_a_sound_configuration_has_no_findings():
+def test_a_valid_configuration_has_no_findings():
     assert configuration_check.check(VALID) == ()
     assert configuration_check.check(configurations.Configuration()) == ()
 
@@ -145,7 +145,7 @@
     "route of the other kind": (
         added(routes=[route("x", "service=desk", "lm")]), Kind.UNREACHABLE, "route.x.selector",
         "Declare a model, service or call"),
-    "service nothing leads to": (
+    "unreachable service": (
         added(services=[model_service("x")]), Kind.UNREACHABLE, "service.x.models",
         "declare a route to it"),
     "two classes": (
@@ -154,10 +154,10 @@
     "two routes": (
         added(routes=[route("x", "vip=yes", "lm")]), Kind.SAME_PRECEDENCE, "route.x.selector",
         "different precedence"),
-    "route to nowhere": (
+    "route to unknown service": (
         added(routes=[route("x", "model=n", "gone")]), Kind.MISSING_SERVICE, "route.x.service",
         "desk, lm, lm-b"),
-    "call of nothing": (
+    "call of unknown service": (
         added(calls=[call("/x", service="gone")]), Kind.MISSING_SERVICE, "call[1].service",
         "Name a declared service"),
     "call of a model": (
@@ -234,13 +234,13 @@
 @pytest.mark.parametrize(
     "extra",
     [
-        # Another precedence, a label no small account has, a call that is no POST, another model.
+        # Different precedence; a call's label together with a model; an unknown method.
         request_class("x", "model=m, task=chat", precedence=1),
         request_class("x", "action=hold, model"),
         request_class("x", "service=desk, !action, method=NONE"),
     ],
 )
-def test_only_equal_precedence_and_common_traffic_conflict(extra):
+def test_classes_conflict_only_at_equal_precedence_on_common_requests(extra):
     found = configuration_check.check(added(classes=[extra]))
     assert Kind.SAME_PRECEDENCE not in {item.kind for item in found}
 
@@ -251,13 +251,13 @@
 
 
 def test_classes_of_calls_with_different_labels_do_not_conflict():
-    # Every request that carries action=hold is a POST, so the two never meet.
+    # Every request that carries action=hold is a POST, so no request matches both.
     classes = (request_class("a", "action=hold"), request_class("b", "service=desk, method=GET"))
     assert configuration_check.check(dataclasses.replace(VALID, classes=classes)) == ()
 
 
-def test_routes_conflict_only_over_requests_of_their_services_kind():
-    # Only requests without a model meet both, and those never go to a model service.
+def test_routes_conflict_only_on_requests_of_their_service_kind():
+    # Only requests without a model match both, and those never go to a model service.
     routes = (route("a", "model!=m", "lm-b"), route("b", "model!=n", "lm"))
     services = (model_service("lm", ("m",)), model_service("lm-b", ("n",)), VALID.services[2])
     changed = dataclasses.replace(VALID, routes=routes, services=services)
--- a/tests/test_configuration_delta.py
+++ b/tests/test_configuration_delta.py
@@ -1,4 +1,4 @@
-"""Test that a delta leads to exactly the configuration it was made for."""
+"""Applying a delta yields exactly the configuration that it was created for."""
 
 import hypothesis
 import pytest
@@ -52,7 +52,7 @@
 
 @hypothesis.given(_configurations(), _configurations())
 @hypothesis.settings(max_examples=60)
-def test_a_delta_leads_to_its_target(old, new):
+def test_applying_a_delta_yields_its_target(old, new):
     base, target = _revisioned(3, old), _revisioned(5, new)
     assert configuration_delta.apply(base, configuration_delta.make(base, target)) == target
 
@@ -67,21 +67,21 @@
     assert delta.removed == ("account/account-99",)
 
 
-def test_a_delta_does_not_fit_another_revision():
+def test_a_delta_for_another_base_revision_is_rejected():
     base, target = (_revisioned(i, configuration.Configuration()) for i in (1, 2))
     delta = configuration_delta.make(base, target)
     with pytest.raises(errors.ConfigurationError, match="does not fit revision 2"):
         configuration_delta.apply(target, delta)
 
 
-def test_there_is_no_delta_between_objects_of_one_name():
+def test_duplicate_names_allow_no_delta():
     twice = configuration.Configuration(accounts=(configuration.Account("a"),) * 2)
     base, target = _revisioned(1, configuration.Configuration()), _revisioned(2, twice)
     assert configuration_delta.make(base, target) is None
     assert configuration_delta.make(target, base) is None
 
 
-def test_an_unreadable_delta_is_refused():
+def test_an_undecodable_delta_is_rejected():
     base = _revisioned(1, configuration.Configuration())
     delta = heartbeat.ConfigurationDelta(1, 2, {"account/a": b"{"}, ())
     with pytest.raises(errors.ConfigurationError, match="can't be decoded"):
--- a/tests/test_configuration_file.py
+++ b/tests/test_configuration_file.py
@@ -1,4 +1,4 @@
-"""Test reading and writing the declared configuration as TOML."""
+"""Reading and writing the declared configuration as TOML."""
 
 import hashlib
 import pathlib
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("name", ["bazar", "strathtune"])
-def test_an_example_is_sound_and_survives_a_round_trip(read, name):
+def test_an_example_is_valid_and_survives_a_round_trip(read, name):
     configuration = configuration_file.read(EXAMPLES / f"{name}.toml")
     assert read(configuration_file.render(configuration)) == configuration
     for account in configuration.accounts:
@@ -98,7 +98,7 @@
     assert configuration_file._configuration(conversion.value) == configuration
 
 
-def test_mistakes_of_form_and_of_meaning_are_found_in_one_pass(read):
+def test_conversion_and_validation_mistakes_are_reported_together(read):
     text = VALID + """
 [[class]]
 name = "odd"
@@ -124,7 +124,7 @@
     ]
 
 
-def test_a_finding_has_its_line_although_elements_before_it_were_left_out(read):
+def test_a_finding_has_the_right_line_after_dropped_elements(read):
     text = VALID + '[[account]]\nname = 3\n[[account]]\nname = "b"\nweight = 0\n'
     found = mistakes(read, text)
     assert [item.split(":", 1)[1].split(";")[0] for item in found] == [
@@ -133,12 +133,12 @@
     ]
 
 
-def test_what_rests_on_a_part_with_mistakes_is_not_reported(read):
+def test_findings_that_result_from_a_conversion_fault_are_not_reported(read):
     text = VALID.replace('kind = "model"', 'kind = "modle"')
     assert len(mistakes(read, text)) == 1
 
 
-def test_a_wrong_number_hides_no_finding_elsewhere(read):
+def test_a_wrong_number_suppresses_no_finding_elsewhere(read):
     text = VALID.replace("tier = 1", "tier = 1\nfloor_share = true")
     text += '[[class]]\nname = "b"\ntier = 1\nselector = "model=gone"\nprecedence = 1\n'
     found = mistakes(read, text)
--- a/tests/test_ctl_program.py
+++ b/tests/test_ctl_program.py
@@ -1,4 +1,4 @@
-"""Test the operators' command line against small fake control and entry hosts on loopback."""
+"""The operators' command line against fake control and entry hosts on loopback."""
 
 import dataclasses
 import hashlib
@@ -35,7 +35,7 @@
 
 
 class FakeControl:
-    """Answer as control does, from plain fields that a test may set before it starts."""
+    """HTTP server that answers like control; tests set its fields before it starts."""
 
     def __init__(self):
         self.configuration = configurations.Configuration(name="old")
@@ -193,7 +193,7 @@
     return [path for _, path, _, _, _ in fake.requests]
 
 
-def test_check_passes_a_sound_file(ctl):
+def test_check_accepts_a_valid_file(ctl):
     assert ctl("check", str(EXAMPLE)) == (0, f"{EXAMPLE}: no mistakes\n", "")
 
 
@@ -246,11 +246,11 @@
     assert f"change_id={change.change_id} base_revision=7" in err
 
 
-def test_apply_sends_the_given_id_and_base(ctl, control):
+def test_apply_sends_the_specified_id_and_base_revision(ctl, control):
     change_id = uuid7.make(1, bytes(10))
     arguments = ("apply", str(EXAMPLE), f"--change_id={change_id}", "--base_revision=7")
     assert ctl(*arguments, controls=[control])[0] == 0
-    # Sent again by hand, it gets its first answer although the revision has moved on.
+    # A manual retry gets the first answer, although the current revision has changed.
     assert ctl(*arguments, controls=[control])[:2] == (0, "accepted as revision 8\n")
     assert control.revision == 8
 
@@ -262,7 +262,7 @@
     assert ctl("new-id")[1] != out
 
 
-def test_a_fetched_file_carries_its_base(ctl, control, tmp_path):
+def test_a_fetched_file_states_its_base_revision(ctl, control, tmp_path):
     control.configuration = configuration_file.read(EXAMPLE)
     status, out, _ = ctl("fetch", controls=[control])
     assert status == 0
@@ -292,7 +292,7 @@
     assert ctl("apply", str(file), "--base_revision=8", controls=[control])[0] == 0
 
 
-def test_a_fetched_file_is_sent_again_with_its_base(ctl, control, tmp_path):
+def test_a_fetched_file_is_resent_with_its_base_revision(ctl, control, tmp_path):
     file = tmp_path / "fetched.toml"
     file.write_text(ctl("fetch", controls=[control])[1])
     again = ("apply", str(file), f"--change_id={uuid7.make(1, bytes(10))}")
@@ -320,7 +320,7 @@
     assert "1 mistake.\na: b; c. Correct it." in err
 
 
-def test_a_lost_reply_is_followed_by_the_same_change_id(ctl, control):
+def test_after_a_lost_reply_the_same_change_is_resent(ctl, control):
     control.lose_replies = 1
     status, out, _ = ctl("apply", str(EXAMPLE), "--patience_s=30", controls=[control])
     assert (status, out) == (0, "accepted as revision 8\n")
@@ -358,7 +358,7 @@
     assert paths(control).count("/v1/in-force") == 3
 
 
-def test_wait_exits_with_4_when_the_time_is_up(ctl, control):
+def test_wait_exits_with_4_after_its_timeout(ctl, control):
     control.waiting_polls = 10**6
     status, out, _ = ctl("apply", str(EXAMPLE), "--wait", "--wait_s=0", controls=[control])
     assert status == 4
@@ -366,7 +366,7 @@
     assert "not confirmed by: entry-1" in out
 
 
-def test_wait_without_an_entry_host_is_no_success(ctl, control):
+def test_wait_without_an_entry_host_fails(ctl, control):
     control.members = ()
     status, out, _ = ctl("apply", str(EXAMPLE), "--wait", "--wait_s=0", controls=[control])
     assert status == 4
@@ -401,7 +401,7 @@
         assert "holds a later revision than control has: entry-1" in out
 
 
-def test_the_leader_is_found_past_a_dead_and_a_following_host(ctl, control, second):
+def test_the_leader_is_found_after_a_dead_host_and_a_follower(ctl, control, second):
     control.leader_address = second.address
     status, out, _ = ctl("members", controls=[DEAD, control])
     assert status == 0
@@ -418,7 +418,7 @@
     assert (len(control.requests), len(second.requests)) == (1, 1)
 
 
-def test_no_host_exits_with_3(ctl):
+def test_unreachable_hosts_exit_with_3(ctl):
     status, out, err = ctl("history", controls=[DEAD])
     assert (status, out) == (3, "")
     assert "Check the addresses in --control" in err
@@ -461,7 +461,7 @@
     assert f"Can't connect to {DEAD}" in reply["unreachable"][DEAD]
 
 
-def test_drain_and_undrain_change_only_that(ctl, control):
+def test_drain_and_undrain_change_nothing_else(ctl, control):
     before = configuration_file.read(EXAMPLE)
     control.configuration = before
     assert ctl("drain", "upstream", "u1", controls=[control])[0] == 0
@@ -474,7 +474,7 @@
     assert control.revision == 10
 
 
-def test_drain_warns_of_an_id_that_nobody_knows(ctl, control):
+def test_drain_warns_of_an_unknown_id(ctl, control):
     control.upstream_ids = ("u1",)
     for kind, known, unknown in (("upstream", "u1", "u9"), ("entry", "entry-1", "entry-7")):
         status, _, err = ctl("drain", kind, unknown, controls=[control])
@@ -485,18 +485,18 @@
     assert control.configuration.drained_upstreams == ("u1",)
 
 
-def test_a_drain_that_can_not_be_checked_goes_on(ctl, control):
+def test_a_drain_whose_id_can_not_be_checked_is_applied(ctl, control):
     control.refuse_path = "/v1/upstreams"
     status, _, err = ctl("drain", "upstream", "u1", controls=[control])
     assert status == 0
     assert "could not be checked" in err
 
 
-def test_a_drain_is_made_anew_after_a_conflict(ctl, control):
+def test_a_drain_is_retried_after_a_conflict(ctl, control):
     control.refusals = [conflict(7), conflict(7)]
     status, _, err = ctl("drain", "upstream", "u1", controls=[control])
     assert status == 0
-    assert err.count("made anew") == 2
+    assert err.count("retrying:") == 2
     changes = [
         msgspec.json.decode(body, type=operations.ApplyChange).change_id
         for _, path, _, body, _ in control.requests
@@ -511,7 +511,7 @@
     assert paths(control).count("/v1/changes") == 8
 
 
-def test_apply_warns_where_it_ends_a_drain(ctl, control):
+def test_apply_warns_if_it_ends_a_drain(ctl, control):
     control.configuration = dataclasses.replace(control.configuration, drained_entries=("e1",))
     err = ctl("apply", str(EXAMPLE), controls=[control])[2]
     assert "this ends the drain of entry e1; list it under deployment.drained_entries" in err
@@ -530,7 +530,7 @@
     }  # fmt: skip
 
 
-def test_voters_and_orders_are_passed_on(ctl, control, tmp_path):
+def test_voters_and_orders_are_sent_to_control(ctl, control, tmp_path):
     assert ctl("voters", "add", "c4", controls=[control])[:2] == (0, "added c4\n")
     assert ctl("voters", "remove", "c4", controls=[control])[:2] == (0, "removed c4\n")
     assert ctl("orders", "list", controls=[control])[0] == 0
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -1,4 +1,4 @@
-"""A disk that is slow is seen in the log."""
+"""Slow writes to disk are logged."""
 
 import logging
 import time
@@ -12,7 +12,7 @@
 
 
 class _Journal:
-    """Take a while for each write."""
+    """A journal that takes a fixed time for each write."""
 
     def __init__(self, took_s):
         self.took_s = took_s
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Test the rules of the entry node one by one, on one or two nodes with a fake control."""
+"""Tests of the entry node, with one or two nodes and a fake control."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def handled(simulation, sender, message, entry_id="e1"):
-    """Return what a node does about a message from a peer, heartbeats and wake-ups aside."""
+    """Return a node's actions for a message of a peer, without wake-ups."""
     actions = simulation.node_by_id[entry_id].handle(
         node.MessageReceived(sender, message), simulation.now
     )
@@ -691,7 +691,9 @@
     assert shed.reason is ticket.ShedReason.NOT_OWNER
 
 
-def test_a_repeatable_request_at_a_stalled_engine_restarts_even_if_not_preemptible(simulation):
+def test_a_repeatable_request_at_a_stalled_engine_restarts_even_if_not_preemptible(
+    simulation,
+):
     simulation.post("e1", entry_harness.chat("r1"))
     simulation.pop_actions(entry_types.Dispatch)
     asked = ticket.Preempt("r1.1", "e1", "lm/0", stalled=True)
--- a/tests/test_entry_golden.py
+++ b/tests/test_entry_golden.py
@@ -1,6 +1,6 @@
-"""Compare whole sessions with golden files: each event that goes in, and the actions it leads to.
+"""Tests that compare complete sessions with golden files: each event and its actions.
 
-Set MEDLAR_REGENERATE_GOLDEN=1 to write the files anew, and read the difference.
+Set MEDLAR_REGENERATE_GOLDEN=1 to rewrite the files, and review the difference.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 LEFT_OUT = (node.Wake, heartbeat.Heartbeat, heartbeat.HeartbeatReply, ticket.Released)
-LONGEST = 120
-"""Characters of one field; longer ones are cut so that a line can be read."""
+MAX_FIELD_LENGTH = 120
+"""Maximum characters of a field; longer ones are truncated for readability."""
 
 Result = entry_types.AttemptResult
 
 
-def text(value):
-    """Write a message without the fields that have their default value."""
+def format_value(value):
+    """Format a message without the fields that have their default value."""
     if isinstance(value, entry_types.RawRequest):
         return f"{value.request_id} {value.method} {value.path} {value.body.decode()}"
     if isinstance(value, upstream.Announcement):
@@ -32,7 +32,7 @@
     if not dataclasses.is_dataclass(value):
         return f"{value:.3f}" if isinstance(value, float) else str(value)
     parts = [
-        f"{field.name}={text(getattr(value, field.name))[:LONGEST]}"
+        f"{field.name}={format_value(getattr(value, field.name))[:MAX_FIELD_LENGTH]}"
         for field in dataclasses.fields(value)
         if field.name not in ("holder", "body_sha256")
         and getattr(value, field.name) != field.default
@@ -41,8 +41,12 @@
     return f"{type(value).__name__}({', '.join(parts)})"
 
 
-def sent(item):
-    return f"to {item.to}: {text(item.message)}" if isinstance(item, node.Send) else text(item)
+def format_action(item):
+    return (
+        f"to {item.to}: {format_value(item.message)}"
+        if isinstance(item, node.Send)
+        else format_value(item)
+    )
 
 
 def is_left_out(item):
@@ -56,9 +60,13 @@
         if is_left_out(event) or (isinstance(event, node.TimeDue) and not shown):
             continue
         received = isinstance(event, node.MessageReceived)
-        came = f"from {event.sender}: {text(event.message)}" if received else text(event)
+        came = (
+            f"from {event.sender}: {format_value(event.message)}"
+            if received
+            else format_value(event)
+        )
         lines.append(f"{at - start:7.3f} {entry_id} < {came}")
-        lines += [f"           > {sent(item)}" for item in shown]
+        lines += [f"           > {format_action(item)}" for item in shown]
     return "\n".join(lines) + "\n"
 
 
--- a/tests/test_entry_machine.py
+++ b/tests/test_entry_machine.py
@@ -1,6 +1,7 @@
-"""Drive three entry nodes through losses, copies, cuts, crashes and changes; check at every step.
+"""Stateful test of three entry nodes under message loss, duplicates, partitions and crashes.
 
-Engines are counters: an attempt may have executed from its dispatch until its upstream refuses.
+The fake engines only count: an attempt counts as executed from its dispatch, unless its upstream
+refuses it.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 UPSTREAM_IDS = ("u1", "u2", "d1")
 LEASE_S = 3.0
 SLACK_S = 1.0
-"""Time for announcements and grants on their way."""
+"""Allowance for announcements and grants in transit."""
 
 entry_ids = st.sampled_from(ENTRY_IDS)
 upstream_ids = st.sampled_from(UPSTREAM_IDS)
@@ -28,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """Hold one open attempt of the fake engines."""
+    """An attempt running at a fake engine."""
 
     entry_id: str
     request_id: str
@@ -37,7 +38,7 @@
 
 
 class EntryMachine(stateful.RuleBasedStateMachine):
-    """Check what must hold whatever happens."""
+    """Checks the invariants of the nodes at every step."""
 
     def __init__(self):
         super().__init__()
@@ -61,7 +62,7 @@
         self.settle()
 
     def settle(self):
-        """Let the fake engines act on what the nodes have asked for."""
+        """Let the fake engines perform the nodes' actions, and check them."""
         while self.simulation.out:
             entry_id, action = self.simulation.out.pop(0)
             match action:
@@ -82,7 +83,9 @@
         assert action.attempt_id not in self.dispatched
         self.dispatched[action.attempt_id] = entry_id
         kept = self.tokens_by_request.get(action.request_id, 0)
-        assert action.resume_offset == kept, "goes on where it can't be joined"
+        assert (
+            action.resume_offset == kept
+        ), "resumes at an offset other than the end of the relayed part"
         open_for = [item.request_id for item in self.open_by_id.values()]
         assert action.request_id not in open_for, "two attempts at once"
         silent_s = self.simulation.now - self.ready_at[action.upstream_id]
@@ -157,7 +160,7 @@
         self.pause()
 
     def pause(self):
-        """Let messages of a healthy network arrive."""
+        """Run long enough for the messages of a healthy network to arrive."""
         self.simulation.run(0.02)
         self.settle()
 
@@ -250,7 +253,7 @@
         self.settle()
 
     def teardown(self):
-        """Heal everything: every request ends and every slot comes back."""
+        """Heal all faults; then every request ends and every slot is released."""
         self.settle()
         self.change_network(0.0, 0.0, 0.001)
         self.simulation.cut = set()
@@ -264,7 +267,7 @@
         assert not self.home_by_request
         for holder, _, finished, _ in self.simulation.control.claim_by_key.values():
             current = self.incarnation_by_id[holder.entry_id] == holder.incarnation
-            assert finished or not current, "a claim is left behind"
+            assert finished or not current, "a claim is not settled"
         for entry in self.simulation.node_by_id.values():
             status = entry.status(self.simulation.now)
             assert (status.requests, status.held_bytes, status.unconfirmed) == (0, 0, 0)
--- a/tests/test_entry_orders.py
+++ b/tests/test_entry_orders.py
@@ -1,4 +1,4 @@
-"""Entry hosts tell control of upstreams and give those out of service no new work."""
+"""Tests of inventory reports to control, and of upstreams taken out of service."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 
 class OrderingControl(entry_harness.FakeControl):
-    """Keep the inventory and a list of upstreams out of service besides."""
+    """Fake control that also keeps the inventory and the list of upstreams out of service."""
 
     def __init__(self, revised):
         super().__init__(revised)
--- a/tests/test_entry_program.py
+++ b/tests/test_entry_program.py
@@ -1,4 +1,4 @@
-"""Test how an entry host's process carries out its node's decisions, on fake connections."""
+"""Tests of how an entry host's process performs its node's actions, on fake connections."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeExchange:
-    """Stand for a caller's connection."""
+    """Fake of a caller's connection."""
 
     def __init__(self) -> None:
         self.head = http_server.RequestHead("GET", RAW.path, "", {})
@@ -51,7 +51,7 @@
 
 
 class FakeClient:
-    """Count requests to upstreams, and refuse them as a closed port would."""
+    """Counts requests to upstreams, and refuses them like a closed port."""
 
     calls = 0
 
@@ -61,7 +61,7 @@
 
 
 class ScriptedNode:
-    """Answer each kind of event with the given actions, and keep the events."""
+    """Answers each type of event with scripted actions, and records the events."""
 
     def __init__(self, script: dict[type, tuple[Any, ...]]) -> None:
         self._script = script
@@ -79,11 +79,11 @@
     return made
 
 
-def converse(program: entry_program.EntryProgram, script: dict[type, tuple[Any, ...]]) -> Any:
-    """Let a scripted node decide about one request; return its events and the caller's end."""
+def serve(program: entry_program.EntryProgram, script: dict[type, tuple[Any, ...]]) -> Any:
+    """Serve a request with a scripted node; return the node's events and the exchange."""
     node, exchange = ScriptedNode(script), FakeExchange()
     program._runner = runner.Runner(node, perform=program._perform)
-    curio.run(curio.timeout_after, 10, program._converse, exchange, "r")
+    curio.run(curio.timeout_after, 10, program._serve_request, exchange, "r")
     return node.events[1:], exchange
 
 
@@ -92,7 +92,7 @@
         entry_types.RequestArrived: (DISPATCH, entry_types.CancelAttempt("r.1")),
         entry_types.AttemptEnded: (entry_types.FinishRelay("r", complete=False),),
     }
-    events, exchange = converse(program, script)
+    events, exchange = serve(program, script)
     ended = entry_types.AttemptEnded("r.1", entry_types.AttemptResult.NOT_SENT, error="cancelled")
     assert events == [ended]
     assert (program._client.calls, exchange.ended) == (0, ["cut"])
@@ -102,9 +102,9 @@
     class LeavingNode(ScriptedNode):
         def handle(self, event: Any, now: float) -> tuple[Any, ...]:
             if isinstance(event, entry_types.RequestArrived):
-                # The caller's leaving is noticed just before the grant comes.
+                # The closed connection is detected just before the grant arrives.
                 gone = entry_types.CallerGone("r")
-                program._conversation_by_id["r"]._told.append(gone)
+                program._session_by_id["r"]._actions.append(gone)
             return super().handle(event, now)
 
     node = LeavingNode(
@@ -115,7 +115,7 @@
     )
     exchange = FakeExchange()
     program._runner = runner.Runner(node, perform=program._perform)
-    curio.run(curio.timeout_after, 10, program._converse, exchange, "r")
+    curio.run(curio.timeout_after, 10, program._serve_request, exchange, "r")
     ended = entry_types.AttemptEnded("r.1", entry_types.AttemptResult.NOT_SENT, error="cancelled")
     assert node.events[1:] == [entry_types.CallerGone("r"), ended]
     assert (program._client.calls, exchange.ended) == (0, ["cut"])
@@ -127,7 +127,7 @@
         entry_types.RequestArrived: (entry_types.CancelAttempt("r.1"), second),
         entry_types.AttemptEnded: (entry_types.FinishRelay("r", complete=False),),
     }
-    events, _ = converse(program, script)
+    events, _ = serve(program, script)
     assert [event.attempt_id for event in events] == ["r.2"]
     assert program._client.calls == 1
 
@@ -137,7 +137,7 @@
         exchange = FakeExchange()
         held = caller_session.CallerSession(RAW, exchange, 0.0)
         held.start_response(DISPATCH, 200, {"content-type": "text/plain"})
-        held.hold("r.1", b"x" * upstream_attempt.MAX_BUFFERED_BYTES)
+        held.buffer("r.1", b"x" * upstream_attempt.MAX_BUFFERED_BYTES)
         assert await held.forward("r.1", b"first")
         second = entry_types.Dispatch("r", "r.2", "u", "http://127.0.0.1:1")
         with pytest.raises(errors.UpstreamError):
--- a/tests/test_example_settings.py
+++ b/tests/test_example_settings.py
@@ -1,4 +1,4 @@
-"""Check that the settings files that the pages start from can be loaded and fit together."""
+"""The example settings files load and are consistent with each other."""
 
 import hashlib
 import pathlib
@@ -27,7 +27,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def test_no_file_is_unchecked():
+def test_every_example_file_is_tested():
     assert {path.stem for path in _FOLDER.iterdir()} == {*_CONTROLS, *_ENTRIES, "ctl"}
 
 
@@ -54,7 +54,7 @@
     assert {item.replica_id: item.link_address for item in loaded.controls} == known
 
 
-def test_ctl_settings_name_every_host():
+def test_ctl_settings_list_every_host():
     loaded = settings.load(_FOLDER / "ctl.toml", _ctl_types.CtlSettings)
     replicas = _control("control-1").replicas
     assert loaded.control == tuple(item.http_address for item in replicas)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Test the HTTP client against scripted peers: whole answers, cuts, reuse and cancellation."""
+"""Test the HTTP client against scripted peers: truncation, reuse, timeouts and cancellation."""
 
 import contextlib
 import socket
@@ -12,7 +12,7 @@
 
 
 class Peer:
-    """Accept connections, read a request from each, and play a script of byte strings."""
+    """Accepts connections, reads a request from each, and sends scripted bytes."""
 
     def __init__(self, *script, end="close"):
         self.script = script
@@ -78,7 +78,7 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"transfer-encoding: chunked\r\n\r\n"
 
-WHOLE = {
+COMPLETE = {
     "length": (OK + b"content-length: 2\r\n\r\nab", True, True),
     "chunked": (CHUNKED + b"1\r\na\r\n1\r\nb\r\n0\r\n\r\n", True, True),
     "length, then close": (OK + b"connection: close\r\ncontent-length: 2\r\n\r\nab", True, False),
@@ -92,9 +92,9 @@
 }
 
 
-@pytest.mark.parametrize("name", WHOLE)
+@pytest.mark.parametrize("name", COMPLETE)
 def test_complete_responses(name):
-    sent, framed, reusable = WHOLE[name]
+    sent, framed, reusable = COMPLETE[name]
     peer = Peer(sent, end="close" if not framed else "hold")
 
     async def main():
@@ -108,7 +108,7 @@
     curio_world.run(main)
 
 
-CUT = {
+TRUNCATED = {
     "no answer": b"",
     "in the status line": b"HTTP/1.1 2",
     "in the headers": OK + b"content-le",
@@ -126,9 +126,9 @@
 }
 
 
-@pytest.mark.parametrize("name", CUT)
+@pytest.mark.parametrize("name", TRUNCATED)
 def test_truncated_responses_never_look_complete(name):
-    peer = Peer(CUT[name], end="hold" if name == "only informational" else "close")
+    peer = Peer(TRUNCATED[name], end="hold" if name == "only informational" else "close")
 
     async def main():
         async with client_of(peer, header_bytes=4096) as client:
@@ -148,12 +148,12 @@
 
 def test_chunks_arrive_before_the_response_ends():
     async def main():
-        go_on = curio.Event()
+        proceed = curio.Event()
 
         async def handler(exchange):
             await exchange.begin(200, {})
             await exchange.send(b"one")
-            await go_on.wait()
+            await proceed.wait()
             await exchange.send(b"two")
             await exchange.finish()
 
@@ -162,7 +162,7 @@
         async with client_of() as client:
             response = await get(client, server.address)
             assert await response.next_chunk() == b"one"
-            await go_on.set()
+            await proceed.set()
             assert [part async for part in response.chunks()][:1] == [b"two"]
             assert await response.next_chunk() == b""
         await server.close(within_s=1)
@@ -339,7 +339,7 @@
 
     async def main():
         async with client_of(peer) as client:
-            await peer.tasks[0].cancel()  # Connections wait in the backlog and nobody reads.
+            await peer.tasks[0].cancel()  # Connections stay in the backlog and are never read.
             with pytest.raises(errors.UpstreamError) as raised:
                 body = b"x" * 20_000_000
                 await client.request(peer.address, "POST", "/", {}, body, timeout_s=0.15)
@@ -353,12 +353,12 @@
     peer = Peer(*script, end="hold")
 
     async def main():
-        async def ask():
+        async def send():
             response = await get(client, peer.address)
             await response.read()
 
         async with client_of(peer) as client:
-            task = await curio.spawn(ask)
+            task = await curio.spawn(send)
             await curio_world.until(lambda: peer.requests)
             await task.cancel()
             assert client.connections == 0
--- a/tests/test_http_response.py
+++ b/tests/test_http_response.py
@@ -1,4 +1,4 @@
-"""Test that an answer reads alike however its bytes are cut up, and that its end is not missed."""
+"""Test that responses parse the same for any split into reads, and that truncation is detected."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FakeStream:
-    """Hand out scripted reads; a read beyond them finds the end, or fails where it would wait."""
+    """Returns scripted reads, then the end of the stream or an error instead of blocking."""
 
     expired = False
     deadline_at = 0.0
@@ -34,7 +34,7 @@
 
     async def receive(self) -> bytes:
         if not self.parts and not self.ends:
-            raise OSError("this would wait for ever")
+            raise OSError("this read would block forever")
         return self.parts.pop(0) if self.parts else b""
 
     def disarm(self) -> None:
@@ -43,11 +43,11 @@
     async def close(self) -> None:
         pass
 
-    cut = close
+    reset = close
 
 
 class FakePool:
-    """Note what becomes of a connection."""
+    """Records whether the connection was returned to the pool."""
 
     kept = False
 
@@ -61,7 +61,7 @@
 def read(
     parts: list[bytes], *, method: str = "GET", ends: bool = False
 ) -> tuple[bytes, bool, bool]:
-    """Return an answer's body, whether it was whole and whether its connection was kept."""
+    """Return the body, whether it was complete and whether its connection was reused."""
     pool, stream = FakePool(), FakeStream(parts, ends=ends)
     connection = _http_response.ClientConnection(
         "http://h:1", stream, pool, header_bytes=9999, body_bytes=9999
@@ -80,20 +80,20 @@
     return b"".join(got), complete, pool.kept
 
 
-def cut(data: bytes, cuts: list[int]) -> list[bytes]:
-    edges = [0, *sorted(cuts), len(data)]
+def split(data: bytes, offsets: list[int]) -> list[bytes]:
+    edges = [0, *sorted(offsets), len(data)]
     return [data[start:end] for start, end in zip(edges, edges[1:], strict=False)]
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(HEAD + CHUNKS + END)), max_size=8))
 @hypothesis.example([len(HEAD) - 1, len(HEAD) + 6, len(HEAD) + 23])
-def test_any_split_gives_the_same_body_and_reuses_the_connection(cuts):
-    assert read(cut(HEAD + CHUNKS + END, cuts)) == (BODY, True, True)
+def test_any_split_gives_the_same_body_and_reuses_the_connection(offsets):
+    assert read(split(HEAD + CHUNKS + END, offsets)) == (BODY, True, True)
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(HEAD + CHUNKS)), max_size=8))
-def test_a_truncated_body_is_never_complete(cuts):
-    _, complete, kept = read(cut(HEAD + CHUNKS, cuts), ends=True)
+def test_a_truncated_body_is_never_complete(offsets):
+    _, complete, kept = read(split(HEAD + CHUNKS, offsets), ends=True)
     assert (complete, kept) == (False, False)
 
 
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Test the HTTP server with raw bytes: limits, malformed input, endings and graceful close."""
+"""Test the HTTP server with raw bytes: limits, malformed input, aborts and graceful close."""
 
 import contextlib
 import functools
@@ -44,7 +44,7 @@
 
 
 async def read_all(sock):
-    """Return what comes before the end, and whether the end was a reset."""
+    """Return the bytes received until the connection ended, and whether it was reset."""
     received = b""
     try:
         while data := await sock.recv(65536):
@@ -208,13 +208,13 @@
 
 
 def test_limit_violation_after_the_response_started_resets_the_connection():
-    async def hasty(exchange):
+    async def start_early(exchange):
         await exchange.begin(200, {})
         await exchange.read_body()
 
     async def main():
         faults = []
-        async with serving(hasty, faults=faults, body_bytes=10) as server:
+        async with serving(start_early, faults=faults, body_bytes=10) as server:
             sock = await connect(server)
             await sock.sendall(POST + b"content-length: 11\r\n\r\n")
             received, was_reset = await read_all(sock)
@@ -271,19 +271,19 @@
 
 
 def test_refusals_are_bounded_and_end_with_the_server(monkeypatch):
-    monkeypatch.setattr(http_server, "_REFUSALS", 2)
+    monkeypatch.setattr(http_server, "_MAX_REFUSALS", 2)
 
     async def main():
         async with serving(connections=0, linger_s=LONG_S) as server:
-            told = [await connect(server) for _ in range(2)]
-            for sock in told:
+            refused = [await connect(server) for _ in range(2)]
+            for sock in refused:
                 await read_until(sock, b"another entry host")
-            with pytest.raises(ConnectionResetError):  # In connecting already, or in reading.
+            with pytest.raises(ConnectionResetError):  # Raised by the connect or by the read.
                 beyond = await connect(server)
                 await beyond.recv(1)
             await server.close(within_s=0)
             assert server._refusal_by_connection == {}
-            for sock in told:
+            for sock in refused:
                 await sock.close()
 
     curio_world.run(main)
@@ -357,11 +357,11 @@
 
 
 def test_chunks_are_sent_at_once_and_terminated():
-    go_on = []
+    proceed = []
 
     async def handler(exchange):
         event = curio.Event()
-        go_on.append(event)
+        proceed.append(event)
         await exchange.begin(200, {})
         await exchange.send(b"one")
         await event.wait()
@@ -373,7 +373,7 @@
             await sock.sendall(GET + b"\r\n")
             received = await read_until(sock, b"one\r\n")
             assert b"transfer-encoding: chunked" in received.lower()
-            await go_on[0].set()
+            await proceed[0].set()
             assert (await read_until(sock, b"0\r\n\r\n")).endswith(b"0\r\n\r\n")
             await sock.close()
 
@@ -390,8 +390,8 @@
 
     async def main():
         async with serving(handler) as server:
-            asked = b"GET / HTTP/%b\r\nhost: x\r\nconnection: close\r\n\r\n" % version
-            assert split(await talk(server, asked))[2] == b"onemore"
+            request = b"GET / HTTP/%b\r\nhost: x\r\nconnection: close\r\n\r\n" % version
+            assert split(await talk(server, request))[2] == b"onemore"
 
     curio_world.run(main)
 
@@ -547,7 +547,7 @@
             await (await connect(server)).close()
             await curio_world.until(lambda: server.connections == 0)
             host, port = server.address.removeprefix("http://").split(":")
-            # Nothing is awaited from here on, so that the server can't accept before it closes.
+            # Nothing is awaited until the close, so that the server can't accept before it.
             waiting = [socket.create_connection((host, int(port))) for _ in range(3)]
             for sock in waiting:
                 sock.sendall(GET + b"\r\n")
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal gives back what was synced, cuts a torn tail and refuses every other damage."""
+"""The journal returns what was synced, truncates a torn tail and rejects any other damage."""
 
 import errno
 import itertools
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """Return a data folder with five records; its journal is closed."""
+    """Return a data folder with five records in a closed journal."""
     made = journal.Journal(tmp_path / "data")
     made.start()
     made.append_and_sync(RECORDS[:2])
@@ -79,7 +79,7 @@
 
 
 def test_a_flipped_byte_of_the_last_write_keeps_the_valid_records_before_it(folder):
-    # Whether that write was synced can't be seen from the file; a later write would tell.
+    # The file doesn't show whether its last write was synced; only a later write records that.
     path = folder / journal.JOURNAL_NAME
     intact = path.read_bytes()
     starts = frame_starts(intact)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys are written and loaded with the rights they need, and refused otherwise."""
+"""Keys are written with safe file permissions; insecure or damaged ones are rejected."""
 
 import pathlib
 
--- a/tests/test_labels.py
+++ b/tests/test_labels.py
@@ -1,4 +1,4 @@
-"""Selectors: what they match, and that overlap is decided rightly."""
+"""Selectors: syntax, matching and overlap."""
 
 import hypothesis
 import pytest
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Links deliver whole messages under their true sender, and drop rather than wait."""
+"""Links deliver complete messages with the authentic sender, and drop instead of blocking."""
 
 import contextlib
 import dataclasses
@@ -47,7 +47,7 @@
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's body and close its links, also when it fails."""
+    """Run a test's body and close its links, even if it fails."""
 
     async def bounded() -> None:
         try:
@@ -72,14 +72,14 @@
 
 @pytest.fixture
 def raw() -> Iterator[zmq.Socket]:
-    """Provide a bare socket to misbehave with."""
+    """Provide a plain socket for sending malformed messages."""
     with bare_socket() as opened:
         yield opened
 
 
 @pytest.fixture
 def other_raw() -> Iterator[zmq.Socket]:
-    """Provide a second one."""
+    """Provide a second plain socket."""
     with bare_socket() as opened:
         yield opened
 
@@ -151,7 +151,7 @@
 
 def test_a_peer_that_reads_nothing_fills_a_bounded_queue() -> None:
     async def main() -> None:
-        # Without heartbeats, which would end the connection to a peer that stopped reading.
+        # No heartbeats: they would close the connection to a peer that stopped reading.
         narrow = dataclasses.replace(QUICK, queue_limit=5, heartbeat_s=0.0, idle_timeout_s=60.0)
         a, b = make_link("a", options=narrow), make_link("b", options=narrow)
         await a.start()
@@ -202,7 +202,7 @@
 
 
 class Relay:
-    """Pass the bytes of one connection on, until told to say nothing more."""
+    """Forward the bytes of connections until set to ``silent``."""
 
     def __init__(self, target: str) -> None:
         self._target_port = int(target.rpartition(":")[2])
@@ -256,7 +256,7 @@
         await b.receive()
         descriptor = a._peer_by_id["b"].socket.FD
         b.send("a", Note("back"))
-        # Nothing is awaited here, so that the message is there before the link's task looks.
+        # Nothing is awaited here, so that the message arrives before the link's task polls.
         assert select.select([descriptor], [], [], TIMEOUT_S)[0]
         while select.select([descriptor], [], [], 0)[0]:
             a.send("b", Note("there"))
@@ -333,7 +333,7 @@
         assert await b.receive() == node.MessageReceived("a", Note("good"))
         assert b.counters.malformed == 4
         raw.send_multipart([kind, b"x" * 1001])
-        # The oversized frame costs the sender its connection; the next one is received again.
+        # An oversized frame closes the sender's connection; after a reconnect it can send again.
         await curio_world.until(
             lambda: raw.send_multipart([kind, body]) is None and not b._inbox.empty()
         )
@@ -488,7 +488,7 @@
 
 
 def test_an_attempt_to_connect_times_out_soon_enough_for_a_retry():
-    # Begun while the network is cut, it would end only with the system's next opening packet.
+    # An attempt started during a network partition would only end with the kernel's next SYN.
     context = zmq.Context()
     sockets = _link_sockets.LinkSockets(context, routed_links.LINK_OPTIONS)
     dealer = sockets.open_dealer("a", "b", "tcp://127.0.0.1:9", None)
@@ -499,7 +499,7 @@
 
 @pytest.mark.parametrize("lost", ["connection", "route"])
 def test_a_send_that_fails_leaves_nothing_unread(raw: zmq.Socket, lost: str) -> None:
-    """Sending takes a socket's edge; what had come by then is received all the same."""
+    """Sending consumes a socket's edge; messages that had arrived by then must be received."""
 
     async def main() -> None:
         a = make_link("a")
@@ -515,7 +515,7 @@
         raw.routing_id = b"other/1"
         raw.connect(a.address)
         raw.send_multipart(CODEC.encode(Note("unread")))
-        # The event loop stands still until the message lies at the socket.
+        # Block the event loop until the message has arrived at the socket.
         time.sleep(SETTLE_S)
         assert not a.send("gone", Note("lost"))
         async with curio.timeout_after(SOON_S):
--- a/tests/test_load_program.py
+++ b/tests/test_load_program.py
@@ -1,4 +1,4 @@
-"""The load tool draws the same load again, judges answers, and follows the retry rules."""
+"""Test that the load tool is reproducible, checks responses and follows the retry rules."""
 
 import contextlib
 import dataclasses
@@ -33,7 +33,7 @@
 
 
 class FakeEntry:
-    """Answer rightly, or as ``script`` says for the next requests."""
+    """Entry host that responds correctly, or with the scripted faults to the next requests."""
 
     def __init__(self, script: list[str] | None = None) -> None:
         self.script = script or []
@@ -115,7 +115,7 @@
 def run_load(
     load_class: _load_experiment.LoadClass, *entries: FakeEntry, **options: Any
 ) -> _load_report.ClassReport:
-    """Run about ten requests against the entry hosts; only the first is known beforehand."""
+    """Run about ten requests against the entry hosts, of which only the first is configured."""
     reports: list[_load_report.LoadReport] = []
 
     async def main() -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Test that each event is one line of key=value pairs without secrets."""
+"""Test that each event is logged as one line of key=value pairs without secrets."""
 
 import fcntl
 import io
@@ -157,7 +157,7 @@
 
 @pytest.fixture
 def full_pipe():
-    """Return the ends of a pipe that nobody has read from and that holds all it can."""
+    """Return the ends of a pipe whose buffer is full."""
     read_end, write_end = os.pipe()
     fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
     os.write(write_end, b"x" * fcntl.fcntl(write_end, fcntl.F_GETPIPE_SZ))
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -1,4 +1,4 @@
-"""Resend messages until they are confirmed, given up or pushed out by newer ones."""
+"""Tests of resending until a message is confirmed, times out or is dropped for newer ones."""
 
 from medlarfork.entry import _outbox
 
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Entry hosts need few connections between them, and close those they don't use."""
+"""Tests of links between entry hosts: a small number, closed when idle."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FakeLink:
-    """Note what is connected, and let the test say which peers have connected here."""
+    """Records connections; the test sets in ``routes`` which peers have connected here."""
 
     def __init__(self):
         self.address_by_id = {}
--- a/tests/test_process_metrics.py
+++ b/tests/test_process_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of routed programs: counted without their library, rendered with it."""
+"""Test that metrics are recorded without the SDK and rendered with it."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 
 class _FakeHistogram:
-    """Stand in for a histogram."""
+    """Histogram that collects the recorded times."""
 
     def __init__(self):
         self.seconds = []
--- a/tests/test_quick_start.py
+++ b/tests/test_quick_start.py
@@ -1,4 +1,4 @@
-"""The start of programs: what an entry host imports, and what is put off."""
+"""Test the start of programs: which modules an entry host imports, blocks and defers."""
 
 import json
 import pathlib
@@ -18,7 +18,8 @@
 )
 
 MAX_MODULES = 340
-"""Modules that an entry host loads before it serves; it was 491."""
+"""Maximum number of modules that an entry host loads before it serves; it was 491 before imports
+were reduced."""
 
 
 def _run(script):
@@ -62,7 +63,7 @@
         "import curio; import multiprocessing; multiprocessing.get_context('spawn').Lock()",
         "from multiprocessing import connection; connection.Pipe()[0].close()",
         "import curio; curio.run(curio.run_in_thread, len, 'x')",
-        # What needs OpenSSL is loaded once the start is over, as programs do.
+        # Like programs do, load modules that need OpenSSL after the start.
         "_quick_start.end()\n"
         "from medlarfork.metrics import sdk_metrics; sdk_metrics.SdkMetrics('t', dict).render()\n"
         "_quick_start.begin()",
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Each guard of the replicated log, in the situation that it is there for."""
+"""Each safety rule of the replicated log, in the situation that it protects against."""
 
 import dataclasses
 import random
@@ -31,7 +31,7 @@
 
 
 def make_replica(records=(), *, options=replica_cluster.OPTIONS, voters=("a", "b", "c")):
-    """Return a started replica "b" of members with the disks 1, 2, 3, and its first actions."""
+    """Return a started replica "b", with members on disks 1, 2, 3, and its first actions."""
     members = [_replica_records.Member(voter, at + 1) for at, voter in enumerate(voters)]
     first = _replica_records.Entry(
         1,
@@ -123,7 +123,7 @@
 
 
 def make_leader(records, *, term):
-    """Return a replica "b" that has just become leader, without a commit in its term."""
+    """Return a replica "b" that has just become leader and has committed nothing in its term."""
     made, actions = make_replica(records)
     for _ in range(3):
         for action in actions:
@@ -575,7 +575,7 @@
 
 
 def test_a_campaign_superseded_by_a_later_term_schedules_no_wake():
-    """An overtaken one once asked to be woken at a time that had passed, over and over."""
+    """A stale campaign due time in the past would request wake-ups in an endless loop."""
     replica_b, _ = make_replica([_replica_records.TermRecord(3, None)])
     for name, disk in (("a", 1), ("c", 3)):
         denial = _replica_messages.LeadDenial(3, _replica_records.Member(name, disk), 1, 0)
--- a/tests/test_replica_machine.py
+++ b/tests/test_replica_machine.py
@@ -1,7 +1,7 @@
-"""Drive clusters of replicas through random faults; the cluster checks the promises at each step.
+"""Drive clusters of replicas through random faults; each step checks the invariants.
 
-At the end of each example all faults are taken back, and the cluster must work again with
-everything that it ever accepted.
+At the end of each example all faults are removed, and the cluster must work again and still hold
+all commands that it ever accepted.
 """
 
 import hypothesis
@@ -35,10 +35,10 @@
         return f"p{self.proposals}"
 
     def may_lose_disk(self, host):
-        """Say whether the promise covers one more lost disk: a majority must keep its own.
+        """Say whether one more lost disk is tolerated: a majority must keep their disks.
 
-        That holds of the committed membership, and of each that some log already acts on: a change
-        from three voters to two, which bear no loss, may yet be committed.
+        This must hold for the committed membership and for each that some replica already acts on:
+        a change from three voters to two, which tolerate no loss, may still be committed.
         """
         if self.missing_disks(self.cluster.membership[1], host) >= (self.count - 1) // 2:
             return False
@@ -54,7 +54,7 @@
         )
 
     def missing_disks(self, membership, host):
-        """Return how many members of a membership, apart from a host, lack their own disk."""
+        """Return how many members, except the given host, are not voters on their listed disk."""
         missing = 0
         for member in membership.members:
             other = self.cluster.host_by_id[member.replica_id]
@@ -138,7 +138,7 @@
 
     @stateful.rule(index=INDEXES, is_frozen=st.booleans())
     def cut_follower_off(self, index, is_frozen):
-        """Part one follower from the leader, and perhaps freeze the leader as it campaigns."""
+        """Disconnect a follower from the leader; maybe freeze the leader when it campaigns."""
         leader = self.cluster.leader()
         follower = self.host(index)
         if leader is None or follower.replica is None:
@@ -232,7 +232,7 @@
 
 
 def test_a_leader_that_removes_itself_and_is_cut_off_leads_again():
-    """Only its log holds the change, and one of the three others has lost its disk."""
+    """Only its log holds the change, and one of the three other members has lost its disk."""
     state = ReplicaMachine()
     state.add_voter()
     state.block_one_way(other=1, index=2)
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner hands over events in order and keeps the node's wakes."""
+"""The runner passes events in order and keeps the node's requested wake times."""
 
 import curio
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Test reading settings files: types, ranges, and that every mistake is named with its place."""
+"""Loading of settings files: types, ranges, and the line and key of every mistake."""
 
 import dataclasses
 import enum
@@ -90,7 +90,7 @@
         ('name = "n"\nname = "m"', 2, ("not valid TOML",)),
     ],
 )
-def test_a_mistake_names_file_line_key_and_remedy(load, tmp_path, text, line, pieces):
+def test_a_mistake_is_reported_with_file_line_key_and_remedy(load, tmp_path, text, line, pieces):
     with pytest.raises(errors.SettingsError) as caught:
         load(text)
     first = str(caught.value).splitlines()[0]
@@ -115,7 +115,7 @@
     assert lines == sorted(lines)
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path):
+def test_an_unreadable_file_is_reported(tmp_path):
     with pytest.raises(errors.SettingsError, match=r"none.toml:1: can't be read.*name a readable"):
         settings.load(tmp_path / "none.toml", Example)
 
@@ -130,14 +130,14 @@
 @pytest.mark.parametrize(
     "kind", [errors.LinkError, errors.JournalError, errors.DamagedJournalError]
 )
-def test_a_program_prints_what_keeps_it_from_starting_and_exits_with_status_1(kind, capsys):
+def test_a_program_that_fails_to_start_prints_the_error_and_exits_with_status_1(kind, capsys):
     with pytest.raises(SystemExit) as caught, program_exit.exit_on_error():
         raise kind("The disk is full.", remedy="Make room.")
     assert caught.value.code == program_exit.START_FAILURE_STATUS == 1
     assert capsys.readouterr().err == "The disk is full. Make room.\n"
 
 
-def test_lines_are_found_past_strings_comments_and_arrays():
+def test_lines_are_found_after_strings_comments_and_arrays():
     text = '''# [no]
 a = """
 [[x]]
@@ -169,7 +169,7 @@
 
 
 @hypothesis.given(st.integers(0, (1 << 48) - 1), st.binary(min_size=10, max_size=10))
-def test_uuid7_carries_its_time(time_ms, random_bytes):
+def test_uuid7_contains_its_time(time_ms, random_bytes):
     text = uuid7.make(time_ms, random_bytes)
     assert uuid7.time_ms(text) == time_ms
     assert text == uuid7.make(time_ms, random_bytes)
@@ -179,11 +179,11 @@
     "text",
     ["", "x", "00000000-0000-4000-8000-000000000000", "00000000-0000-7000-c000-000000000000"],
 )
-def test_other_text_carries_no_time(text):
+def test_other_text_contains_no_time(text):
     assert uuid7.time_ms(text) is None
 
 
 @pytest.mark.parametrize(("time_ms", "size"), [(-1, 10), (1 << 48, 10), (1, 9)])
-def test_uuid7_refuses_what_does_not_fit(time_ms, size):
+def test_uuid7_rejects_out_of_range_arguments(time_ms, size):
     with pytest.raises(ValueError, match="48 bits"):
         uuid7.make(time_ms, bytes(size))
--- a/tests/test_shard_choice.py
+++ b/tests/test_shard_choice.py
@@ -1,4 +1,4 @@
-"""Entry hosts use few pools of a service, stably and evenly, and others while those are no help."""
+"""Tests of the choice of pools: a small, stable and even subset, extended under overload."""
 
 from __future__ import annotations
 
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events are split alike however the bytes are cut."""
+"""Test that server-sent events parse the same for any split of the bytes."""
 
 import hypothesis
 import pytest
@@ -12,9 +12,9 @@
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=6))
-def test_any_split_gives_the_same_events(cuts: list[int]) -> None:
+def test_any_split_gives_the_same_events(offsets: list[int]) -> None:
     parser = sse.EventParser()
-    edges = [0, *sorted(cuts), len(STREAM)]
+    edges = [0, *sorted(offsets), len(STREAM)]
     events = []
     for start, end in zip(edges, edges[1:], strict=False):
         events.extend(parser.feed(STREAM[start:end]))
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine streams, resumes, cancels, fences and fails as it is told to."""
+"""Test the stand-in engine: streams, resumption, cancellation, orders and injected faults."""
 
 import contextlib
 import json
@@ -45,8 +45,8 @@
     async def chat(
         self, headers: dict[str, str] | None = None, **body: Any
     ) -> http_client.Response:
-        whole = {"model": "standin", "messages": MESSAGES} | body
-        return await self.open("POST", "/v1/chat/completions", whole, headers)
+        request = {"model": "standin", "messages": MESSAGES} | body
+        return await self.open("POST", "/v1/chat/completions", request, headers)
 
     async def stream(
         self, headers: dict[str, str] | None = None, **body: Any
@@ -115,11 +115,11 @@
 def test_another_engine_resumes_a_response_and_confirms_the_offset() -> None:
     async def main() -> None:
         async with running() as (_, first), running() as (_, second):
-            _, whole = await first.stream()
+            _, events = await first.stream()
             headers, rest = await second.stream({"Medlar-Resume-Offset": "7"})
         assert headers["medlar-resume-offset"] == "7"
         assert rest[0].id == "8"
-        assert text_of(whole[:7] + rest) == ANSWER.text()
+        assert text_of(events[:7] + rest) == ANSWER.text()
 
     curio_world.run(main)
 
@@ -172,17 +172,17 @@
 def test_queued_requests_start_by_priority_then_by_arrival() -> None:
     order: list[str] = []
 
-    async def ask(caller: Caller, name: str, priority: str) -> None:
+    async def send(caller: Caller, name: str, priority: str) -> None:
         headers = {"Medlar-Priority": priority, "Medlar-Request-Id": name}
         await (await caller.chat(headers)).read()
 
     async def main() -> None:
         async with running(slots=1) as (engine, caller):
             await caller.call("POST", "/v1/faults", {"freeze_s": 60})
-            tasks = [await curio.spawn(ask, caller, "held", "1")]
+            tasks = [await curio.spawn(send, caller, "held", "1")]
             await curio_world.until(lambda: engine.state.running == 1)
             for count, (name, priority) in enumerate([("c", "3"), ("a", "1"), ("b", "1")], 1):
-                tasks.append(await curio.spawn(ask, caller, name, priority))
+                tasks.append(await curio.spawn(send, caller, name, priority))
                 await curio_world.until(lambda count=count: engine.state.waiting == count)
             await caller.call("POST", "/v1/faults", {})
             for task in tasks:
--- a/tests/test_standin_service.py
+++ b/tests/test_standin_service.py
@@ -1,4 +1,4 @@
-"""The stand-in service is a truthful witness, and announcements reach whoever answers."""
+"""Test that the stand-in service counts executions correctly, and test its announcements."""
 
 import contextlib
 import json
@@ -18,7 +18,7 @@
 
 
 class FakeEntry:
-    """Take announcements as an entry host does."""
+    """Entry host that accepts announcements."""
 
     def __init__(self) -> None:
         self.received: list[upstream.Announcement] = []
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Test that records become the metrics that operators read."""
+"""Tests of the metrics made from records of requests."""
 
 import dataclasses
 
--- a/tests/test_upstream_gauges.py
+++ b/tests/test_upstream_gauges.py
@@ -1,4 +1,4 @@
-"""Test what operators are shown of ejected, probing and starting upstreams."""
+"""Tests of gauges, status and explanations for ejected, probing and starting upstreams."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Exchange:
-    """Stand for an operator's connection."""
+    """Fake of an operator's connection."""
 
     def __init__(self, path: str, query: str = "", key: str = "operator") -> None:
         headers = {"authorization": f"Bearer {key}"}
@@ -31,7 +31,7 @@
 
 
 class BrokenNode:
-    """Raise the given error for every question."""
+    """Node that raises the given error for every query."""
 
     def __init__(self, error: errors.MedlarError) -> None:
         self._error = error
@@ -65,7 +65,7 @@
 
 
 def fail(bench, upstream_id, now):
-    """Eject an upstream through the failures of the requests that are granted there."""
+    """Fail the requests granted to an upstream until it is ejected; return their number."""
     failed = 0
     for number in range(400):
         asked = ticket.Ticket(f"{now}.{number}", "e1", "lm/0", "shop", "chat", 1, 0.0, now + 99.0)
@@ -117,7 +117,7 @@
         entry_status.UpstreamStatus(f"u{number}", "http://u", "lm/0", "ready", 0.1, (), use)
         for number in range(5_000)
     ]
-    assert len(_upstream_gauges._shown(many)) == _upstream_gauges._MAX_UPSTREAMS
+    assert len(_upstream_gauges._reported_upstreams(many)) == _upstream_gauges._MAX_UPSTREAMS
 
 
 @pytest.mark.parametrize(
