--- a/src/medlarfork/entry/caller_session.py
+++ b/src/medlarfork/entry/caller_session.py
@@ -147,7 +147,7 @@
         """Send the buffer and these bytes to the caller; return whether any bytes were sent.
 
         Raises:
-            errors.CallerGoneError: The caller can't be reached any more.
+            errors.CallerDisconnectedError: The caller can't be reached any more.
             errors.UpstreamError: The bytes don't continue the answer at the right offset.
         """
         relayable = self._feed(attempt_id, data)
--- a/src/medlarfork/gateway/request_pipeline.py
+++ b/src/medlarfork/gateway/request_pipeline.py
@@ -71,7 +71,7 @@
         connection once no other task waits for its end.
 
         Raises:
-            errors.CallerGoneError: The caller has disconnected.
+            errors.CallerDisconnectedError: The caller has disconnected.
         """
         while True:
             placed = await self._place_if_allowed()
--- a/src/medlarfork/http/_http_exchange.py
+++ b/src/medlarfork/http/_http_exchange.py
@@ -46,7 +46,7 @@
 class Exchange:
     """One request and its response; valid until the handler returns.
 
-    Every method that writes raises ``errors.CallerDisconnectedError`` once the caller has disconnected.
+    Every method that writes raises ``errors.CallerDisconnectedError`` once the caller is gone.
 
     Attributes:
         head: The request line and headers.
@@ -93,7 +93,7 @@
         Raises:
             errors.HttpLimitError: If the body is too large, malformed or too slow; the error
                 response has been sent already.
-            errors.CallerGoneError: If the caller disconnected before its body was complete.
+            errors.CallerDisconnectedError: If the caller disconnected before its body was complete.
         """
         if self._h11.their_state is h11.DONE:
             return b""
