--- a/src/medlarfork/quarantine/crash_ledger.py
+++ b/src/medlarfork/quarantine/crash_ledger.py
@@ -86,7 +86,7 @@
 def refusal(ticket_id: str, standing: Standing) -> placement_messages.PlaceRefused:
     """Return the refusal of a held request."""
     wait_s = min(standing.trial_in_s, CASE_RETENTION_S)
-    why = f"{standing.ends} upstreams ended while they ran it"
+    why = f"{standing.ends} upstreams crashed while running it"
     return placement_messages.PlaceRefused(ticket_id, wait_s * 1000.0, why)
 
 
--- a/tests/processes/test_repeated_crash.py
+++ b/tests/processes/test_repeated_crash.py
@@ -90,7 +90,7 @@
     is_over.set()
     for caller in callers:
         caller.join()
-    held = [line for line in fleet.lines("request") if "ended while they ran it" in line]
+    held = [line for line in fleet.lines("request") if "upstreams crashed while running it" in line]
     assert held == []
     assert statuses.count(200) > 0.9 * len(statuses)
 
