--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -303,6 +303,15 @@
         return leaders[0] if leaders else ""
 
 
+_SEED = int(
+    "34341184074797923574912422528031027949246354726298965526042524069280892487664258"
+    "114945926617825310272028521984781133"
+)
+"""Seed of the histories. Without it hypothesis derives them from the source text of the machine, so
+that each rewording would replace them, and some sets take more than twice as long."""
+
+
+@hypothesis.seed(_SEED)
 class ControlMachine(stateful.RuleBasedStateMachine):
     """Concurrent operators and entry hosts, while control hosts fail."""
 
